--- a/claycross/recovery/warm_start.py
+++ b/claycross/recovery/warm_start.py
@@ -9,8 +9,8 @@
 
 from __future__ import annotations
 
-from ..routing.outlier_detection import PACE_SAMPLES
-from ..routing.prefix_cache import PREFIX_AGE, Credit
+from ..routing.outlier_detection import TRUSTED_PACE_SAMPLES
+from ..routing.prefix_cache import CREDIT_LIFETIME_NS, Credit
 from ..routing.router import Router
 from .warm_start_snapshot import (
     MAX_ENGINES,
@@ -100,7 +100,7 @@
             continue
         record = snapshot.engines[name]
         engine.pace = record.pace
-        engine.samples = min(record.samples, PACE_SAMPLES)
+        engine.samples = min(record.samples, TRUSTED_PACE_SAMPLES)
 
 
 def restore_sessions(
@@ -109,7 +109,7 @@
     """Restore the readers of sessions that are still cached."""
     sessions = router.prefix_cache.sessions
     for session, record in snapshot.sessions.items():
-        cached = record.reader in unchanged and now - record.at < PREFIX_AGE
+        cached = record.reader in unchanged and now - record.at < CREDIT_LIFETIME_NS
         if cached and session not in sessions:
             sessions[session] = record
 
@@ -134,5 +134,5 @@
     return {
         reader: credit
         for reader, credit in readers.items()
-        if reader in unchanged and now - credit.at < PREFIX_AGE
+        if reader in unchanged and now - credit.at < CREDIT_LIFETIME_NS
     }
--- a/claycross/recovery/warm_start_snapshot.py
+++ b/claycross/recovery/warm_start_snapshot.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeGuard
 
-from ..routing.outlier_detection import RECENT
+from ..routing.outlier_detection import RECENT_PACES_KEPT
 from ..routing.prefix_cache import Credit, SessionRecord
 
 MAX_ENGINES = 512
@@ -145,7 +145,7 @@
     recent_paces: dict[str, list[float]] = {}
     for role, items in value.items():
         paces = decode_numbers(items, name)
-        require(0 < len(paces) <= RECENT, name)
+        require(0 < len(paces) <= RECENT_PACES_KEPT, name)
         require(all(pace > 0 for pace in paces), name)
         recent_paces[role] = [float(pace) for pace in paces]
     return recent_paces
--- a/claycross/routing/dispatch.py
+++ b/claycross/routing/dispatch.py
@@ -88,7 +88,7 @@
         writer = self._pick_writer(request, now)
         if writer is None:
             return False
-        plan = AttemptPlan(is_read=False, predicted_latency=self.health.typical(writer.role))
+        plan = AttemptPlan(is_read=False, predicted_latency=self.health.typical_pace(writer.role))
         return self.starter.start(request, writer, plan, now)
 
     def _write_may_come_too_late(self, request: Request, now: int) -> bool:
--- a/claycross/routing/engine.py
+++ b/claycross/routing/engine.py
@@ -55,7 +55,7 @@
         self.full_until = 0
         self.pace = 0.0  # ns a token for readers, ns to the first token for others
         self.samples = 0  # of the pace
-        self.fails = 0  # failures in a row
+        self.consecutive_failures = 0  # failures in a row
         self.ejections = 0  # since it last answered after an ejection
         self.misses = 0  # reads in a row that found far less in the cache than was credited
 
--- a/claycross/routing/latency_prediction.py
+++ b/claycross/routing/latency_prediction.py
@@ -33,12 +33,12 @@
 
     def read_latency(self, engine: Engine, tokens: float, now: int) -> float:
         """The time until the engine has read so many tokens of a new request."""
-        pace = self.health.typical(READER) * self.health.slowness(engine)
+        pace = self.health.typical_pace(READER) * self.health.slowness(engine)
         return pace * (self.loads.tokens_ahead(engine, now) + tokens + OVERHEAD_TOKENS)
 
     def in_place_latency(self, engine: Engine, prompt_tokens: int) -> float:
         """The time until the first token of an engine that also reads the prompt."""
-        return self.health.typical(engine.role) + READ_PACE * (prompt_tokens + OVERHEAD_TOKENS)
+        return self.health.typical_pace(engine.role) + READ_PACE * (prompt_tokens + OVERHEAD_TOKENS)
 
     def meets_objective(
         self,
@@ -54,7 +54,7 @@
         `first_tokens` usual first tokens is kept free for the writer.
         """
         read_latency *= max(1.0, self.error_quantiles[quantile])
-        writing = first_tokens * self.health.typical(WRITER)
+        writing = first_tokens * self.health.typical_pace(WRITER)
         return now + read_latency + writing <= request.objective_at
 
     def record_read(self, elapsed: int, predicted: float) -> None:
--- a/claycross/routing/load_estimation.py
+++ b/claycross/routing/load_estimation.py
@@ -31,7 +31,7 @@
         waiting = engine.reported_waiting_tokens
         if waiting is None:
             return if_unknown
-        return max(0.0, waiting - (now - engine.report_at) / self.health.typical(READER))
+        return max(0.0, waiting - (now - engine.report_at) / self.health.typical_pace(READER))
 
     def tokens_ahead(self, engine: Engine, now: int) -> float:
         """Prompt tokens that are read there before those of a new request.
--- a/claycross/routing/outlier_detection.py
+++ b/claycross/routing/outlier_detection.py
@@ -28,9 +28,9 @@
 # The same while the engine is on trial after an ejection.
 TRIAL_GAIN = 0.5
 # Samples from which on an engine's pace is believed in full.
-PACE_SAMPLES = 3
+TRUSTED_PACE_SAMPLES = 3
 # The last paces of a role that are kept for its median.
-RECENT = 11
+RECENT_PACES_KEPT = 11
 # Times the typical pace of its peers, above which an engine is ejected.
 SLOW_FACTOR = 3.0
 # Failures in a row that eject an engine.
@@ -76,7 +76,8 @@
         self.report_failure: Callable[[str], None] = ignore_failure
         # The last paces of each role, after an initial one.
         self.recent_paces: dict[str, deque[float]] = {
-            role: deque([float(initial_pace(role))], maxlen=RECENT) for role in EngineRole
+            role: deque([float(initial_pace(role))], maxlen=RECENT_PACES_KEPT)
+            for role in EngineRole
         }
         # Timeouts in a row by role, with no response of any engine in between.
         self.timeouts = Counter[str]()
@@ -93,7 +94,7 @@
 
     # Paces
 
-    def typical(self, role: str) -> float:
+    def typical_pace(self, role: str) -> float:
         """The median pace of a role's engines.
 
         Where most engines are seldom seen, as with many gateways, it is the median of the role's
@@ -108,7 +109,7 @@
         paces = [
             engine.pace
             for engine in engines
-            if now - engine.last_response < FRESH_FOR and engine.samples >= PACE_SAMPLES
+            if now - engine.last_response < FRESH_FOR and engine.samples >= TRUSTED_PACE_SAMPLES
         ]
         if not paces or 2 * len(paces) < len(engines):
             return median(self.recent_paces[role])
@@ -121,8 +122,8 @@
         """
         found = 1.0
         if engine.samples:
-            belief = min(engine.samples, PACE_SAMPLES) / PACE_SAMPLES
-            found = max(1.0, engine.pace / self.typical(engine.role)) ** belief
+            belief = min(engine.samples, TRUSTED_PACE_SAMPLES) / TRUSTED_PACE_SAMPLES
+            found = max(1.0, engine.pace / self.typical_pace(engine.role)) ** belief
         return max(found, 1 / self.slow_start.capacity_share(engine))
 
     def record_pace(self, engine: Engine, pace: float, now: int, timed_out: bool = False) -> None:
@@ -155,7 +156,7 @@
 
     def record_success(self, engine: Engine) -> None:
         """An engine has served an attempt."""
-        engine.fails = 0
+        engine.consecutive_failures = 0
         if engine.last_response >= engine.ejected_until:
             engine.ejections = 0
 
@@ -166,8 +167,8 @@
             self.report_failure(engine.id)
         seen_of_late = now - engine.last_response < EJECTION_MAX
         # An engine that is seldom seen is ejected without waiting for a second failure.
-        engine.fails += 1 if seen_of_late else MAX_FAILURES
-        if engine.fails >= MAX_FAILURES or engine.ejections:
+        engine.consecutive_failures += 1 if seen_of_late else MAX_FAILURES
+        if engine.consecutive_failures >= MAX_FAILURES or engine.ejections:
             self.eject(engine, now)
 
     def eject(self, engine: Engine, now: int) -> None:
@@ -189,7 +190,7 @@
         jitter = EJECTION_JITTER_MIN + EJECTION_JITTER_RANGE * self.random_number()
         engine.ejected_until = now + int(duration * jitter)
         engine.ejections += 1
-        engine.fails = 0  # the pace stays: timeouts must grow while all are slow
+        engine.consecutive_failures = 0  # the pace stays: timeouts must grow while all are slow
 
     # Candidates
 
--- a/claycross/routing/prefix_cache.py
+++ b/claycross/routing/prefix_cache.py
@@ -11,7 +11,7 @@
 
 SECOND = 1_000_000_000
 # A credit that is not renewed for so long is forgotten.
-PREFIX_AGE = 30 * SECOND
+CREDIT_LIFETIME_NS = 30 * SECOND
 # Prefixes, and sessions, that are kept.
 TABLE_CAPACITY = 8192
 # Decayed arrivals, under which a prefix's demand is forgotten.
@@ -87,10 +87,10 @@
         found = {
             reader: min(credit.tokens, arrival.prompt_tokens)
             for reader, credit in self.prefixes.get(arrival.prefix, {}).items()
-            if now - credit.at < PREFIX_AGE
+            if now - credit.at < CREDIT_LIFETIME_NS
         }
         last = self.sessions.get(arrival.session, NO_SESSION)
-        if last.reader and now - last.at < PREFIX_AGE:
+        if last.reader and now - last.at < CREDIT_LIFETIME_NS:
             of_session = min(last.prompt, arrival.prompt_tokens)
             found[last.reader] = max(found.get(last.reader, 0), of_session)
         return found
@@ -119,7 +119,7 @@
             expired = [
                 reader
                 for reader, credit in credits_by_reader.items()
-                if now - credit.at >= PREFIX_AGE
+                if now - credit.at >= CREDIT_LIFETIME_NS
             ]
             for reader in expired:
                 self._add_tokens(reader, -credits_by_reader.pop(reader).tokens)
@@ -128,11 +128,11 @@
         self.sessions = {
             session: record
             for session, record in self.sessions.items()
-            if now - record.at < PREFIX_AGE
+            if now - record.at < CREDIT_LIFETIME_NS
         }
 
     def _decay_demand(self, elapsed: int) -> None:
-        remaining = 0.5 ** (elapsed / PREFIX_AGE)
+        remaining = 0.5 ** (elapsed / CREDIT_LIFETIME_NS)
         decayed = {prefix: demand * remaining for prefix, demand in self.demand.items()}
         self.demand = {
             prefix: demand for prefix, demand in decayed.items() if demand > LEAST_DEMAND
--- a/claycross/routing/router.py
+++ b/claycross/routing/router.py
@@ -230,7 +230,7 @@
         for failed_tag in self.load_gossip.receive(self.now, event.sender, event.payload):
             for engine in self.endpoints.engines_with_tag(failed_tag):
                 reporters = self.load_gossip.reporters(engine.id, self.now)
-                if reporters + min(1, engine.fails) >= MIN_FAILURE_REPORTERS:
+                if reporters + min(1, engine.consecutive_failures) >= MIN_FAILURE_REPORTERS:
                     self.health.eject(engine, self.now)
 
     def _on_request_arrived(self, event: RequestArrived) -> None:
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -422,7 +422,7 @@
     assert blamed == [
         d.router.load_gossip.tag(e.id)
         for e in d.router.health.engines.values()
-        if e.fails or e.ejections
+        if e.consecutive_failures or e.ejections
     ]
 
 
@@ -454,7 +454,9 @@
             d.sent_at[1, 1] + d.out[1, 1].timeout > 105 * SECOND
         )  # its deadline, but for a margin
         silent = d.router.health.engines[d.out[1, 1].engine]
-        assert silent.fails or silent.ejections  # others are told, and don't wait there, too
+        assert (
+            silent.consecutive_failures or silent.ejections
+        )  # others are told, and don't wait there, too
         d.begin(1)
         assert d.router.requests[1].stage == "streaming"
 
--- a/tests/fleet/test_zone_reachability.py
+++ b/tests/fleet/test_zone_reachability.py
@@ -8,8 +8,8 @@
     MS,
     SECOND,
     CancelAttempt,
-    Desk,
     EndpointListUpdate,
+    RouterHarness,
     entry,
     kinds,
     sends,
@@ -78,7 +78,7 @@
 def fleet(**over):
     """Six readers in each of three zones, writers in the first."""
     readers = [entry(f"r{n}", zone=ZONES[n % 3]) for n in range(18)]
-    return Desk(
+    return RouterHarness(
         engines=[*readers, entry("w1", zone="north"), entry("w3", zone="north")],
         gateway_count=60,
         **over,
@@ -135,7 +135,9 @@
 
 
 def test_fleets_without_zones_are_not_narrowed():
-    d = Desk(engines=[entry(f"r{n}", zone="-") for n in range(1, 9)] + [entry("w1", zone="-")])
+    d = RouterHarness(
+        engines=[entry(f"r{n}", zone="-") for n in range(1, 9)] + [entry("w1", zone="-")]
+    )
     d.do(EndpointListUpdate("changes", []))
     first = sends(d.ask(1, session="s", left=30 * SECOND))[0].engine
     assert sends(d.reply(1, "connect_failed", took=250 * MS))[0].engine != first
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -33,7 +33,7 @@
     passes,
     post,
 )
-from tests.routing.router_harness import MS, SECOND, Desk, entry, settings
+from tests.routing.router_harness import MS, SECOND, RouterHarness, entry, settings
 
 WHOLE = b"".join(EVENTS)
 
@@ -967,7 +967,7 @@
 def test_clients_that_leave_early_do_not_make_an_engine_look_fast():
     """Attempts cut off after 1 ms counted as reads that took 1 ms: the pace believed fell with
     each."""
-    d = Desk(engines=["r1", "w1"])
+    d = RouterHarness(engines=["r1", "w1"])
     for n in range(4):
         d.serve(n, session=f"s{n}")
     e = d.router.health.engines["r1"]
--- a/tests/recovery/test_warm_start.py
+++ b/tests/recovery/test_warm_start.py
@@ -9,7 +9,14 @@
 from hypothesis import strategies as st
 
 from claycross.recovery import warm_start
-from tests.routing.router_harness import READERS, SECOND, WRITERS, Desk, EndpointListUpdate, entry
+from tests.routing.router_harness import (
+    READERS,
+    SECOND,
+    WRITERS,
+    EndpointListUpdate,
+    RouterHarness,
+    entry,
+)
 
 CLOCK = "the machine's run"
 
@@ -17,7 +24,7 @@
 def taught(restarted=()):
     """A desk that served a day, its lessons through JSON, and a new desk taught them under today's
     list."""
-    old = Desk()
+    old = RouterHarness()
     for n in range(1, 40):
         old.serve(n, session=f"s{n % 7}", prefix=f"p{n % 3}", prefix_tokens=400)
         old.now += 100 * 1_000_000
@@ -26,7 +33,7 @@
         old.now,
         CLOCK,
     )
-    new = Desk()
+    new = RouterHarness()
     new.now = old.now + SECOND
     today = [entry(n, started_at=new.now if n in restarted else 0) for n in READERS + WRITERS]
     new.do(EndpointListUpdate("full", today))
@@ -38,7 +45,9 @@
     old, new, named = taught()
     assert named == len([e for e in old.router.health.engines.values() if e.samples])
     for role in ("read", "write"):
-        assert new.router.health.typical(role) == pytest.approx(old.router.health.typical(role))
+        assert new.router.health.typical_pace(role) == pytest.approx(
+            old.router.health.typical_pace(role)
+        )
     assert new.router.prediction_error_quantiles == old.router.prediction_error_quantiles
     assert new.router.home_cache_share == old.router.home_cache_share
     assert new.router.prefix_cache.sessions == old.router.prefix_cache.sessions
@@ -61,7 +70,7 @@
 
 def test_a_module_that_learned_for_itself_keeps_its_own():
     old, new, _ = taught()
-    again = Desk()
+    again = RouterHarness()
     again.now = new.now
     again.do(EndpointListUpdate("full", [entry(n) for n in READERS + WRITERS]))
     again.serve(1, session="mine")
@@ -95,7 +104,7 @@
     ],
 )
 def test_lessons_out_of_kind_bound_or_time_are_not_taught(spoil, why):
-    old = Desk()
+    old = RouterHarness()
     old.serve(1, session="s")
     found = warm_start.capture(old.router, old.now, CLOCK).encode()
     with pytest.raises(warm_start.InvalidSnapshotError, match=why):
@@ -103,7 +112,7 @@
 
 
 def test_lessons_are_of_no_use_where_the_clock_has_no_name():
-    found = warm_start.capture(Desk().router, 0, "").encode()
+    found = warm_start.capture(RouterHarness().router, 0, "").encode()
     with pytest.raises(warm_start.InvalidSnapshotError, match="another clock"):
         warm_start.decode(found, 0, "")
 
@@ -121,14 +130,14 @@
     ),
 )
 def test_whatever_a_field_holds_the_lessons_are_judged_or_unfit_and_teaching_holds(junk, field):
-    old = Desk()
+    old = RouterHarness()
     old.serve(1, session="s", prefix="p", prefix_tokens=100)
     found = warm_start.capture(old.router, old.now, CLOCK).encode() | {field: junk}
     try:
         judged = warm_start.decode(json.loads(json.dumps(found)), old.now, CLOCK)
     except (warm_start.InvalidSnapshotError, ValueError):
         return
-    new = Desk()
+    new = RouterHarness()
     new.now = old.now
     warm_start.restore(new.router, judged, new.now)
     new.serve(2, session="s", prefix="p", prefix_tokens=100)
--- a/tests/routing/router_harness.py
+++ b/tests/routing/router_harness.py
@@ -189,9 +189,6 @@
         return reader, writer
 
 
-Desk = RouterHarness  # the former name, which other test files use
-
-
 def sends(actions) -> list[StartAttempt]:
     """The attempts that the actions start."""
     return [action for action in actions if isinstance(action, StartAttempt)]
@@ -209,7 +206,6 @@
     "WRITERS",
     "AttemptFinished",
     "CancelAttempt",
-    "Desk",
     "EndpointListUpdate",
     "FailRequest",
     "LoadReport",
--- a/tests/routing/test_defences.py
+++ b/tests/routing/test_defences.py
@@ -149,7 +149,7 @@
 
 def test_timeouts_grow_with_a_slowdown_of_the_whole_fleet():
     d = RouterHarness()
-    before = d.router.health.typical("write")
+    before = d.router.health.typical_pace("write")
     for n in range(40):
         d.ask(n)
         d.now += 20 * MS
@@ -159,7 +159,7 @@
         for _ in range(2):
             if any(r == n for r, _ in d.out):
                 d.reply(n, "timeout", took=2 * SECOND)
-    assert d.router.health.typical("write") > 3 * before
+    assert d.router.health.typical_pace("write") > 3 * before
 
 
 def checks(actions) -> list[CheckConnection]:
@@ -223,7 +223,7 @@
             d.reply(n, "read", took=100 * MS)
             d.begin(n)
             d.reply(n, "ok", SECOND, ended=True)
-    assert d.router.health.typical("read") < 100_000
+    assert d.router.health.typical_pace("read") < 100_000
 
 
 def test_timeouts_in_a_row_lengthen_further_ones_until_a_response_comes():
@@ -337,7 +337,7 @@
         d.reply(n, "read", took=SECOND)
         d.begin(n)
         d.reply(n, "ok", SECOND, ended=True)
-    assert 0.5e6 < d.router.health.typical("read") < 1.1e6
+    assert 0.5e6 < d.router.health.typical_pace("read") < 1.1e6
     assert max(e.samples for e in d.router.health.engines.values() if e.role == "read") < 3
     assert not any(e.ejections for e in d.router.health.engines.values())
     d.ask(99, session="s99", prompt_tokens=1000, left=30 * SECOND)
@@ -348,7 +348,7 @@
     d = RouterHarness()
     for n in range(11):
         d.serve(n, session=f"s{n}")
-    e, usual = d.router.health.engines["r1"], d.router.health.typical("read")
+    e, usual = d.router.health.engines["r1"], d.router.health.typical_pace("read")
     e.samples, e.pace, e.last_response = 0, 0.0, d.now
     d.router.health.record_pace(e, 9 * usual, d.now)
     assert not e.ejections and d.router.health.slowness(e) > 1.5
@@ -393,7 +393,7 @@
     e.last_response, e.samples, e.pace = (
         d.now - 30 * SECOND,
         3,
-        1e6 * d.router.health.typical("read"),
+        1e6 * d.router.health.typical_pace("read"),
     )
     d.router.health.record_pace(e, e.pace, d.now)
     assert e.ejected_until > d.now + 3 * SECOND
@@ -405,7 +405,7 @@
     e.last_response = d.now
     d.router.health.record_failure(e, d.now + MS)
     assert not e.ejections
-    e.fails, e.last_response = 0, d.now - 30 * SECOND
+    e.consecutive_failures, e.last_response = 0, d.now - 30 * SECOND
     d.router.health.record_failure(e, d.now)
     assert e.ejections
 
--- a/tests/routing/test_endpoint_table.py
+++ b/tests/routing/test_endpoint_table.py
@@ -49,10 +49,10 @@
 
 def test_nothing_that_was_learned_of_an_earlier_process_is_kept(table):
     engine = table.health.engines["r1"]
-    engine.samples = engine.fails = 5
+    engine.samples = engine.consecutive_failures = 5
     table.update(EndpointListUpdate(UpdateKind.CHANGES, [entry("r1", started_at=NOW)]))
     assert table.health.engines["r1"] is engine
-    assert engine.samples == engine.fails == 0
+    assert engine.samples == engine.consecutive_failures == 0
     assert not table.prefix_cache.sessions
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,7 @@
 from statistics import median
 
 from claycross.routing import outlier_detection
-from tests.routing.router_harness import Desk
+from tests.routing.router_harness import RouterHarness
 
 ROOT = pathlib.Path(__file__).parent.parent
 ROUTER = ROOT / "claycross" / "routing" / "router.py"
@@ -19,8 +19,8 @@
     "claycross/emulator/soak_test.py": 656,
 }
 REPEAT = """
-from tests.routing.router_harness import Desk, MS
-d = Desk(seed=7)
+from tests.routing.router_harness import RouterHarness, MS
+d = RouterHarness(seed=7)
 for n in range(60):
     d.ask(n, session=f"s{n % 9}", prefix=f"p{n % 5}", prefix_tokens=800)
     d.now += 7 * MS
@@ -69,7 +69,7 @@
         monkeypatch.setattr(
             outlier_detection, "median", lambda paces: seen.append(len(paces)) or median(paces)
         )
-        d = Desk(
+        d = RouterHarness(
             engines=[f"{kind}{n}" for kind in "rw" for n in range(1, size + 1)], gateway_count=50
         )
         for e in d.router.health.engines.values():
