--- a/claycross/routing/candidate_sampling.py
+++ b/claycross/routing/candidate_sampling.py
@@ -1,10 +1,10 @@
-"""A large fleet's engines by role, place and rendezvous order, and bounded samples of them.
+"""Indexes a large fleet's engines by role and location, and draws bounded samples of them.
 
-A decision that walks the whole endpoint list costs as much as the fleet has engines. Of thousands,
-the best of a few dozen sampled evenly is as good as the best of all, and better where many gateways
-choose alike by what they received a moment ago. Rendezvous order can't be sampled, because all
-gateways have to agree on it; so it is kept for each key, and a change of the list costs only what
-was added since.
+The cost of a decision that visits the whole endpoint list grows with the fleet. Among thousands of
+engines, the best of a few dozen sampled evenly is as good as the best of all, and better where many
+gateways decide by the same load information. Rendezvous order can't be sampled, because all
+gateways have to agree on it. It is cached for each key, and updating it after a change of the list
+costs only as much as engines were added.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 
 from .rendezvous import rank
 
-# Golden ratio: with this share of the list as its step, a spread is even at any length.
+# Step of an even sample, as a share of the list: this one gives low discrepancy at any length.
 GOLDEN_RATIO_CONJUGATE = 0.6180339887
-# Engines kept of each key's order.
+# Engines cached of each key's order.
 MAX_ORDER_LENGTH = 16
-# With fewer of them left, the order is made anew.
+# Engines left of a cached order below which it is computed anew.
 MIN_ORDER_LENGTH = 6
-# Keys whose order is kept.
+# Keys whose order is cached.
 MAX_ORDERED_KEYS = 4096
-# Additions of engines that an order may be behind.
+# Recorded additions of engines; a cached order that lacks more of them is computed anew.
 MAX_RECORDED_ADDITIONS = 256
-# Versions of the list that an order may be behind.
+# Versions of the index that a cached order may be behind.
 MAX_VERSIONS_BEHIND = 10_000
 
 READY = "ready"
 
 
 class Endpoint(Protocol):
-    """What the index needs to know of an endpoint."""
+    """The attributes of an endpoint that the index uses."""
 
     @property
     def state(self) -> str:
@@ -49,7 +49,7 @@
 
 
 class IndexedEngine(Protocol):
-    """What the index needs to know of an engine."""
+    """The attributes of an engine that the index uses."""
 
     @property
     def id(self) -> str:
@@ -71,7 +71,7 @@
 
 
 class EngineGroup(Generic[EngineT]):
-    """An unordered list that engines join and leave at a cost that does not grow with it."""
+    """An unordered list of engines with addition, removal and lookup in constant time."""
 
     def __init__(self) -> None:
         self.engines: list[EngineT] = []
@@ -87,7 +87,7 @@
             self.engines[position] = engine
 
     def remove(self, engine_id: str) -> None:
-        """Remove an engine, if it is there; the last one takes its position."""
+        """Remove an engine if it is in the group; the last engine takes its position."""
         position = self.positions.pop(engine_id, None)
         if position is None:
             return
@@ -97,74 +97,75 @@
             self.positions[last.id] = position
 
     def get(self, engine_id: str) -> EngineT | None:
-        """The engine with this id, or None."""
+        """Return the engine with this id, or None."""
         position = self.positions.get(engine_id)
         return None if position is None else self.engines[position]
 
 
 class EngineIndex(Generic[EngineT]):
-    """The ready engines of the endpoint list, by role and place."""
+    """The ready engines of the endpoint list by role, zone and cell."""
 
     def __init__(self) -> None:
         self.version = 0
         self.groups: dict[GroupKey, EngineGroup[EngineT]] = {}
-        self.group_keys_by_engine: dict[
-            str, tuple[GroupKey, ...]
-        ] = {}  # engine id -> groups it is in
-        # Version, role and ids of engines that became ready, oldest first.
+        self.group_keys_by_engine: dict[str, tuple[GroupKey, ...]] = {}  # by engine id
+        # Version, role and engine ids of recent additions, oldest first.
         self.additions: deque[tuple[int, str, list[str]]] = deque(maxlen=MAX_RECORDED_ADDITIONS)
 
     def rebuild(self, engines: Iterable[EngineT]) -> None:
-        """Index all engines anew."""
-        self.version += MAX_VERSIONS_BEHIND + 1  # so that no order is updated from before
+        """Replace the whole index."""
+        self.version += MAX_VERSIONS_BEHIND + 1  # invalidates all cached orders
         self.groups = {}
         self.group_keys_by_engine = {}
         self.additions.clear()
-        self.change(engines)
+        self.update(engines)
 
-    def change(self, engines: Iterable[EngineT]) -> None:
-        """Update the index for engines that came, went or have another endpoint."""
+    def update(self, engines: Iterable[EngineT]) -> None:
+        """Update the index for engines that were added, removed or have a new endpoint."""
         self.version += 1
         added: dict[str, list[str]] = {}
         for engine in engines:
-            former = self.group_keys_by_engine.pop(engine.id, ())
+            previous = self.group_keys_by_engine.pop(engine.id, ())
             current = group_keys(engine)
-            if current and former == current and self._is_indexed(engine):
-                self.group_keys_by_engine[engine.id] = former
+            if current and previous == current and self._is_indexed(engine):
+                self.group_keys_by_engine[engine.id] = previous
                 continue
-            for key in former:
+            for key in previous:
                 self.groups[key].remove(engine.id)
             if not current:
                 continue
             for key in current:
                 self.groups.setdefault(key, EngineGroup()).add(engine)
             self.group_keys_by_engine[engine.id] = current
-            if engine.role not in former:
+            if engine.role not in previous:
                 added.setdefault(engine.role, []).append(engine.id)
         for role, engine_ids in added.items():
             self.additions.append((self.version, role, engine_ids))
 
     def _is_indexed(self, engine: EngineT) -> bool:
-        """Whether it is this object that the group of its role has."""
+        """Return whether the group of the engine's role holds this very object."""
         return self.groups[engine.role].get(engine.id) is engine
 
     def ready(self, role: str) -> list[EngineT]:
-        """All ready engines of a role."""
+        """Return all ready engines of a role."""
         return self.members(role).engines
 
-    def near(self, role: str, zone: str, cell: int | None = None) -> list[EngineT]:
-        """The ready engines of a role in a zone, or in one of its cells."""
+    def ready_in(self, role: str, zone: str, cell: int | None = None) -> list[EngineT]:
+        """Return the ready engines of a role in a zone, or in one of its cells."""
         return self.members((role, zone) if cell is None else (role, zone, cell)).engines
 
     def members(self, key: GroupKey) -> EngineGroup[EngineT]:
-        """The group with this key; an empty one if no engine is in it."""
+        """Return the group with this key, or an empty one."""
         return self.groups.get(key) or EngineGroup()
 
     def added_since(self, role: str, version: int) -> list[str] | None:
-        """Engines that became ready since a version; None if it is too long ago to say."""
-        full = len(self.additions) == MAX_RECORDED_ADDITIONS
-        oldest = self.additions[0][0] if full else 0
-        if version < oldest or version < self.version - MAX_VERSIONS_BEHIND:
+        """Return the ids of engines that became ready since a version.
+
+        Returns None if the record does not go back so far.
+        """
+        is_full = len(self.additions) == MAX_RECORDED_ADDITIONS
+        oldest_version = self.additions[0][0] if is_full else 0
+        if version < oldest_version or version < self.version - MAX_VERSIONS_BEHIND:
             return None
         return [
             engine_id
@@ -175,7 +176,7 @@
 
 
 def group_keys(engine: IndexedEngine) -> tuple[GroupKey, ...]:
-    """The groups that an engine belongs to; none if it is not ready."""
+    """Return the keys of the groups that an engine belongs to; none if it is not ready."""
     entry = engine.entry
     if entry.state != READY:
         return ()
@@ -184,7 +185,7 @@
 
 
 def sample_evenly(items: list[ItemT], salt: str, limit: int) -> Iterator[ItemT]:
-    """Up to `limit` items, evenly over the list, in another order for each salt; none twice."""
+    """Yield up to `limit` distinct items, evenly over the list, in an order given by the salt."""
     count = len(items)
     if not count:
         return
@@ -198,16 +199,16 @@
 
 
 class RendezvousOrder:
-    """The first engines of one key by rank, as of a version of the index."""
+    """The cached first engines of one key by rank, as of a version of the index."""
 
     def __init__(self, version: int, ranks: list[tuple[float, str]], complete: bool):
         self.version = version
         self.ranks = ranks  # rank and engine id, highest first
-        self.complete = complete  # there are no others
+        self.complete = complete  # the fleet has no further engines of the role
 
 
 class RendezvousOrders(Generic[EngineT]):
-    """The first engines of each key, exactly as a walk over all of them would give."""
+    """A cache of the first engines of each key in exact rendezvous order."""
 
     def __init__(self, index: EngineIndex[EngineT], role: str):
         self.index = index
@@ -215,7 +216,7 @@
         self.orders: OrderedDict[str, RendezvousOrder] = OrderedDict()  # least recently used first
 
     def first(self, key: str) -> Iterator[EngineT]:
-        """The engines of highest rank, in order; MAX_ORDER_LENGTH at most."""
+        """Return up to MAX_ORDER_LENGTH engines of highest rank, in order."""
         members = self.index.members(self.role)
         positions = members.positions
         order = self.orders.pop(key, None)
@@ -235,7 +236,7 @@
         )
 
     def _update(self, order: RendezvousOrder, key: str, positions: dict[str, int]) -> bool:
-        """Bring an order up to the present list; False if it has to be made anew."""
+        """Update an order for changes of the index; False if it has to be computed anew."""
         if order.version == self.index.version:
             return True
         added = self.index.added_since(self.role, order.version)
@@ -250,9 +251,9 @@
             for engine_id in added
             if engine_id in positions and engine_id not in known
         ]
-        # Below the last one kept the order is not known: others, never kept, may lie there.
-        lowest = 0.0 if order.complete else remaining[-1][0]
-        ranks = sorted(remaining + [pair for pair in new if pair[0] > lowest], reverse=True)
+        # Below the lowest cached rank the order is unknown: engines that were cut off rank there.
+        lowest_rank = 0.0 if order.complete else remaining[-1][0]
+        ranks = sorted(remaining + [pair for pair in new if pair[0] > lowest_rank], reverse=True)
         order.complete = order.complete and len(ranks) <= MAX_ORDER_LENGTH
         order.ranks = ranks[:MAX_ORDER_LENGTH]
         order.version = self.index.version
@@ -262,7 +263,7 @@
 def collect_accepted(
     groups: Iterable[Iterable[EngineT]], accept: Callable[[EngineT], bool], limit: int
 ) -> list[EngineT]:
-    """The accepted engines of one group after the other, none twice and `limit` in all."""
+    """Return up to `limit` distinct accepted engines, taking one group after the other."""
     found: dict[str, EngineT] = {}
     for group in groups:
         for engine in group:
--- a/claycross/routing/dispatch.py
+++ b/claycross/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends waiting requests to the engines that the selectors choose, as admission control allows."""
+"""Sends waiting requests to the selected engines, as far as admission control allows."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
-# Tokens still to be read up to which a mixed engine takes a prompt that it has not cached.
+# Uncached tokens of a prompt up to which a mixed engine reads and answers it in one call.
 MAX_IN_PLACE_TOKENS = 512
-# Share of the time in which a state has to be released, for which it is held for a writer.
+# Time for which a state is held for a writer, as a share of the time until it must be released.
 STATE_HOLD_SHARE = 0.5
-# Of the 300 ms by which engines hold a state longer; the rest is for the release call.
+# Engines hold a state up to 300 ms longer than that; the rest is left for the release call.
 STATE_HOLD_GRACE_NS = 250 * MS
-# After which a client that was rejected because writers are full may try again.
+# Retry-After of requests that are rejected because all writers are full.
 WRITERS_FULL_RETRY_AFTER_NS = SECOND
 
 
@@ -60,21 +60,21 @@
         return allowed_engines(request, engines, now, self.settings.tick)
 
     def _prefer_not_failed(self, request: Request, engines: list[Engine], now: int) -> list[Engine]:
-        """Prefer engines that have not failed the request, and those that can be reached."""
-        fresh = [engine for engine in engines if engine.id not in request.failed_engines]
-        return self.reachability.prefer_reachable(request, fresh or engines, now)
+        """Prefer reachable engines at which no attempt of the request has failed."""
+        not_failed = [engine for engine in engines if engine.id not in request.failed_engines]
+        return self.reachability.prefer_reachable(request, not_failed or engines, now)
 
     def _is_held_too_long(self, request: Request, now: int) -> bool:
-        """Whether a state that is held for the request has to be released."""
+        """Return whether a state that is held for the request has to be released."""
         held_for = now - request.last_result_at
         return held_for > STATE_HOLD_SHARE * self.settings.release_within
 
     def dispatch_awaiting_writer(self, now: int) -> None:
-        """Send requests whose prompt was read to a writer."""
+        """Send requests whose prompt has been read to writers."""
         for request in list(self.table.awaiting_writer.values()):
             if self._start_write(request, now):
                 del self.table.awaiting_writer[request.id]
-            elif not self._writer_may_follow(request, now):
+            elif not self._may_send_to_writer(request, now):
                 self.finisher.give_up(request, reason="attempts")
             elif self._is_held_too_long(request, now):
                 del self.table.awaiting_writer[request.id]
@@ -92,10 +92,11 @@
         return self.starter.start(request, writer, plan, now)
 
     def _write_may_come_too_late(self, request: Request, now: int) -> bool:
-        """Whether a state could be released before a further write arrives, as connections fail.
+        """Return whether the state could be released before a further write arrives.
 
-        After a failed connection no write starts that might end too late. Nor does a second one
-        after a write to an unresponsive engine, which may have released the state before.
+        This can happen while connections fail: the time of the state runs on. After a failed
+        connection, no write starts that might connect too late, nor a second one after a write to
+        an unresponsive engine, by which the state may have been released already.
         """
         if request.attempts[-1].result not in preconditions.NOT_SENT:
             return False
@@ -106,15 +107,15 @@
 
     def _pick_writer(self, request: Request, now: int) -> Engine | None:
         holder = request.state_holder
-        near = holder.entry if holder else None
-        candidates = self.writer_selector.candidates(request, near, now)
+        holder_endpoint = holder.entry if holder else None
+        candidates = self.writer_selector.candidates(request, holder_endpoint, now)
         candidates = self._allowed(request, candidates, now)
         candidates = [engine for engine in candidates if now >= engine.full_until]
         candidates = self._prefer_not_failed(request, candidates, now)
         return self.writer_selector.pick(request, holder, candidates, now)
 
-    def _writer_may_follow(self, request: Request, now: int) -> bool:
-        """Whether the request may be sent to any writer at all, now or later."""
+    def _may_send_to_writer(self, request: Request, now: int) -> bool:
+        """Return whether the request may be sent to any writer, now or later."""
         if len(request.attempts) >= self.settings.max_attempts:
             return False
         writers = (engine for engine in self.health.engines.values() if engine.role != READER)
@@ -136,7 +137,7 @@
                 free -= request.writer_memory
 
     def _reject_if_late(self, request: Request, now: int) -> None:
-        """Reject a request that waited for writer memory until it was late (backpressure)."""
+        """Reject a request that missed its latency objective while writers had no free memory."""
         if now > request.objective_at:
             self.finisher.give_up(request, WRITERS_FULL_RETRY_AFTER_NS, "writers")
             self.actions.log("full", "writers are full: requests are refused", now)
@@ -157,7 +158,7 @@
         return self._start_read(request, readers, now)
 
     def _mixed_engines(self, request: Request, now: int) -> list[Engine]:
-        """The mixed engines that may take the request."""
+        """Return the mixed engines that may take the request."""
         if self.health.pool.large:
             engines = self.health.sample_candidates(MIXED, now, str(request.id), [])
         else:
@@ -165,7 +166,7 @@
         return self._allowed(request, engines, now)
 
     def _is_short_uncached(self, request: Request, now: int) -> bool:
-        """Whether little of the prompt is left to read at the reader that has most of it."""
+        """Return whether few tokens of the prompt are uncached at the reader with most of them."""
         matches = self.prefix_cache.matches(request.arrival, now)
         cached = max(matches.values(), default=0)
         return request.arrival.prompt_tokens - cached <= MAX_IN_PLACE_TOKENS
@@ -199,7 +200,7 @@
         return self.predictor.read_latency(choice.engine, tokens, now)
 
     def _fastest(self, request: Request, readers: list[Engine]) -> ReaderChoice:
-        """The fastest of idle readers, with nothing expected in its cache."""
+        """Choose the fastest of idle readers, with no cached tokens expected."""
         engine = min(
             readers,
             key=lambda reader: (self.health.slowness(reader), -rank(str(request.id), reader.id)),
@@ -207,9 +208,9 @@
         return ReaderChoice(engine, cached_tokens=0, credited_tokens=0, is_home=False)
 
     def _start_in_place(self, request: Request, engines: list[Engine], now: int) -> bool:
-        """Send a request to an engine that reads and answers in one call.
+        """Send a request to an engine that reads the prompt and answers in one call.
 
-        It is a mixed engine or, with no readers at all, a writer that can read.
+        These are mixed engines or, while there are no readers at all, writers that can read.
         """
         engines = self._allowed(request, engines, now)
         engines = [engine for engine in engines if now >= engine.full_until]
@@ -217,10 +218,10 @@
             return False
 
         def cost(engine: Engine) -> tuple[bool, float, float]:
-            share = self.loads.projected_memory(engine) / max(1, engine.memory)
+            memory_share = self.loads.projected_memory(engine) / max(1, engine.memory)
             return (
                 engine.id in request.failed_engines,
-                share * self.health.slowness(engine),
+                memory_share * self.health.slowness(engine),
                 -rank(str(request.id), engine.id),
             )
 
@@ -230,17 +231,17 @@
         return self.starter.start(request, engine, plan, now)
 
     def retry(self, request: Request, now: int) -> None:
-        """Queue the request again for a read, within the retry budget.
+        """Queue the request for another read, if rules and the retry budget allow it.
 
-        A state that is held stays until the next send, or until it has been held too long: a
-        release goes to all engines of the request and could arrive after the next read.
+        A state that is still held is not released here: a release goes to all engines of the
+        request and could arrive after the next read. It is released when it has been held too long.
         """
-        possible = (
+        may_retry = (
             len(request.attempts) < self.settings.max_attempts
             and may_send_to_any(request, self.health.engines.values(), now, self.settings.tick)
             and self.admission.retry_budget.try_spend()
         )
-        if not possible:
+        if not may_retry:
             self.finisher.give_up(request, reason="attempts")
             return
         self.table.enqueue(request)
--- a/claycross/routing/endpoint_table.py
+++ b/claycross/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Applies updates of the endpoint list to the engines that the router knows."""
+"""Applies updates of the endpoint list to the router's engines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class EndpointTable:
-    """Keeps the engines, their cache credits and their gossip tags up to the endpoint list."""
+    """Keeps engines, cache credits and gossip tags consistent with the endpoint list."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self.tag_of = tag_of
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Apply a full list, or changes to it."""
+        """Apply a full list or changes to the present one."""
         engines = self.health.engines
         removed: list[Engine] = []
         if event.kind != UpdateKind.CHANGES:
@@ -40,8 +40,10 @@
                 self._change(engines[entry.engine], entry)
             else:
                 engines[entry.engine] = self._new_engine(entry)
-        present = [engines[entry.engine] for entry in event.entries if entry.engine in engines]
-        self.health.pool.update(removed + present)
+        listed_engines = [
+            engines[entry.engine] for entry in event.entries if entry.engine in engines
+        ]
+        self.health.pool.update(removed + listed_engines)
 
     def _new_engine(self, entry: EngineEndpoint) -> Engine:
         memory = self.settings.memory.get(entry.machine_kind, 0)
@@ -54,17 +56,17 @@
         engine.entry = entry
 
     def _remove(self, engine_id: str) -> list[Engine]:
-        """Remove an engine; returns it, or nothing if it was not known."""
+        """Remove an engine; returns a list of it, or an empty one if it is unknown."""
         engine = self.health.engines.pop(engine_id, None)
         if engine is None:
             return []
-        # Attempts in flight there still refer to it.
+        # Attempts in flight at the engine still refer to it.
         engine.entry.state = EngineState.REMOVED
         self.prefix_cache.forget_reader(engine_id)
         return [engine]
 
     def engines_with_tag(self, tag: int) -> list[Engine]:
-        """The engines that gateways name by this tag in their gossip."""
+        """Return the engines that have this tag in load gossip."""
         by_tag: dict[int, list[Engine]] = self.health.pool.memoize_briefly("tags", "", self._by_tag)
         return by_tag.get(tag, [])
 
--- a/claycross/routing/engine_pool.py
+++ b/claycross/routing/engine_pool.py
@@ -1,4 +1,4 @@
-"""The engines of the endpoint list, and values over many of them that are computed seldom."""
+"""The engines of the endpoint list, and memoized values over many of them."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 # Enumeration members used for each engine or request, bound here to save attribute lookups.
 READY = EngineState.READY
 
-# Engines above which a decision looks at a sample of the list, not at all of it.
+# In a larger fleet, a decision considers a sample of the engines instead of all.
 LARGE_FLEET_ENGINES = 256
-# For which a value over all engines of a large fleet is used again.
+# Time for which a value over all engines of a large fleet is reused.
 MEMO_LIFETIME_NS = 100 * MS
 
 
 class EnginePool:
-    """All engines by id, with an index of the ready ones of a large fleet."""
+    """All engines by id, and in a large fleet an index of the ready ones."""
 
     def __init__(self) -> None:
         self.engines: dict[str, Engine] = {}
         self.large = False
         self.index: EngineIndex[Engine] = EngineIndex()
         self.orders = RendezvousOrders(self.index, EngineRole.READER)
-        self.now = 0  # of this batch of events
-        self._memo: dict[tuple[str, str], Any] = {}  # of this batch
-        self._brief_memo: dict[tuple[str, str], tuple[int, Any]] = {}  # computed at, and value
+        self.now = 0  # time of this batch of events
+        self._memo: dict[tuple[str, str], Any] = {}  # values of this batch, by name and role
+        # Time of computation and value, by name and role.
+        self._brief_memo: dict[tuple[str, str], tuple[int, Any]] = {}
 
     def begin_batch(self, now: int) -> None:
         """Start a new batch of events."""
@@ -37,17 +38,17 @@
         self._memo = {}
 
     def update(self, changed: list[Engine]) -> None:
-        """The endpoint list has changed by these engines, some of them removed."""
+        """Update the index for added, changed and removed engines."""
         self._memo = {}
         was_large = self.large
         self.large = len(self.engines) > LARGE_FLEET_ENGINES
         if self.large and was_large:
-            self.index.change(changed)
+            self.index.update(changed)
         elif self.large:
             self.index.rebuild(self.engines.values())
 
     def ready(self, role: str) -> list[Engine]:
-        """The ready engines of a role."""
+        """Return the ready engines of a role."""
         if self.large:
             return self.index.ready(role)
 
@@ -62,9 +63,10 @@
         return found
 
     def memoize(self, name: str, role: str, compute: Callable[[], Any]) -> Any:
-        """A value that is computed once a batch.
+        """Return a value that is computed once a batch.
 
-        Rankings ask for it for each engine; computing it anew would cost the square of the fleet.
+        Rankings use it for each engine; computing it each time would make the cost of a decision
+        quadratic in the size of the fleet.
         """
         key = (name, role)
         if key not in self._memo:
@@ -72,7 +74,10 @@
         return self._memo[key]
 
     def memoize_briefly(self, name: str, role: str, compute: Callable[[], Any]) -> Any:
-        """A value that is computed once a batch, or for a large fleet once in MEMO_LIFETIME_NS."""
+        """Return a value that is computed once a batch, or for a large fleet less often.
+
+        There it is reused for MEMO_LIFETIME_NS.
+        """
         if not self.large:
             return self.memoize(name, role, compute)
         computed_at, value = self._brief_memo.get((name, role), (-MEMO_LIFETIME_NS, None))
@@ -82,5 +87,5 @@
         return value
 
     def invalidate(self, name: str, role: str) -> None:
-        """Forget a value of this batch, because what it is computed from has changed."""
+        """Discard a value of this batch whose inputs have changed."""
         self._memo.pop((name, role), None)
--- a/claycross/routing/writer_selection.py
+++ b/claycross/routing/writer_selection.py
@@ -57,8 +57,8 @@
         for role in (WRITER, MIXED):
             preferred = []
             if near:
-                in_cell = index.near(role, near.zone, near.cell)
-                in_zone = index.near(role, near.zone)
+                in_cell = index.ready_in(role, near.zone, near.cell)
+                in_zone = index.ready_in(role, near.zone)
                 preferred = [
                     list(sample_evenly(in_cell, salt, MAX_SAMPLED_NEARBY)),
                     list(sample_evenly(in_zone, salt, MAX_SAMPLED_NEARBY)),
