--- a/claycross/routing/outlier_detection.py
+++ b/claycross/routing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: ejects engines that fail or are far slower than their peers of one role.
+"""Outlier detection: ejects engines that fail or are far slower than others of their role.
 
-Engines are judged by symptom alone: failures, missing responses and their pace. The pace of a
-reader is the time for each prompt token, that of other engines the time to the first token.
+The evidence is failures, missing responses and the pace of an engine. The pace of a reader is its
+time for each prompt token, that of other engines their time to the first token.
 """
 
 from __future__ import annotations
@@ -19,54 +19,55 @@
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
 
-# The pace of readers, in ns a token, until some reads are seen.
+# Pace of readers before the first sample: ns a prompt token.
 INITIAL_READ_PACE_NS = 80_000
-# The pace of other engines, the time to the first token, until some are seen.
+# Pace of other engines before the first sample: ns to the first token.
 INITIAL_FIRST_TOKEN_NS = 150 * MS
 # Weight of a new sample in an engine's pace.
 PACE_GAIN = 0.2
-# The same while the engine is on trial after an ejection.
+# The same between an ejection and the next success.
 TRIAL_PACE_GAIN = 0.5
-# Samples from which on an engine's pace is believed in full.
+# Samples from which on an engine's pace has its full weight.
 TRUSTED_PACE_SAMPLES = 3
-# The last paces of a role that are kept for its median.
+# Last samples of a role that are kept for its median pace.
 RECENT_PACES_KEPT = 11
-# Times the typical pace of its peers, above which an engine is ejected.
+# Slowness above which an engine is ejected: a multiple of the typical pace of its role.
 EJECTION_SLOWNESS = 3.0
-# Failures in a row that eject an engine.
+# Consecutive failures after which an engine is ejected.
 MAX_CONSECUTIVE_FAILURES = 2
-# The first ejection; doubled for each further one.
+# Duration of the first ejection, doubled for each further one.
 EJECTION_BASE_NS = SECOND
 EJECTION_MAX_NS = 8 * SECOND
 EJECTION_MAX_DOUBLINGS = 6
-# Random factor on an ejection: the least, and the range above it.
+# Random factor on the duration of an ejection: its minimum, and the range above that.
 EJECTION_JITTER_MIN = 0.75
 EJECTION_JITTER_RANGE = 0.5
-# Arrivals at this gateway that an ejection outlasts ...
+# An ejection is lengthened until this many requests are expected to arrive while it lasts ...
 EJECTION_ARRIVALS = 4
-# ... by becoming so many times longer at most.
+# ... but at most by this factor.
 EJECTION_MAX_STRETCH = 4.0
-# Least arrival rate a nanosecond, to divide by.
+# Lower bound of the arrival rate (requests a nanosecond) as a divisor.
 MIN_ARRIVAL_RATE = 1e-12
-# Share of a role that is ejected at most; beyond it no ejection is believed.
+# While more than this share of a role is ejected, ejections are ignored.
 MAX_EJECTED_SHARE = 0.6
-# For which the pace of an engine counts towards the typical one after its last response.
+# Time since its last response for which an engine's pace counts towards the typical one.
 PACE_FRESHNESS_NS = 8 * SECOND
-# Share of an attempt's response timeout, after which its engine gets no further requests.
+# Share of an attempt's response timeout after which its engine gets no further requests.
 SUSPECT_TIMEOUT_SHARE = 0.5
-# Timeouts in a row at a role that lengthen further ones.
+# Consecutive timeouts of a role that lengthen further ones; beyond them the backoff stays.
 MAX_BACKED_OFF_TIMEOUTS = 3
-# Engines of a large fleet that are looked at for one decision, and those that are weighed.
+# Engines of a large fleet that are sampled for one decision.
 SAMPLE_SIZE = 120
+# Healthy engines of a large fleet that are compared for one decision.
 MAX_CANDIDATES = 48
 
 
 def ignore_failure(_engine_id: str) -> None:
-    """Report a failure to nobody."""
+    """Discard a failure report; the default while there is no gossip."""
 
 
 class OutlierDetector:
-    """Judges engines against the other engines of their role."""
+    """Compares engines with others of their role, ejects outliers and selects candidates."""
 
     def __init__(self, settings: Settings, random_number: Callable[[], float]):
         self.random_number = random_number  # from 0 to 1
@@ -74,17 +75,17 @@
         self.slow_start = SlowStart(settings, self.pool)
         # Reports a failure to other gateways, by engine id.
         self.report_failure: Callable[[str], None] = ignore_failure
-        # The last paces of each role, after an initial one.
+        # The last samples of each role, starting with the initial pace.
         self.recent_paces: dict[str, deque[float]] = {
             role: deque([float(initial_pace(role))], maxlen=RECENT_PACES_KEPT)
             for role in EngineRole
         }
-        # Timeouts in a row by role, with no response of any engine in between.
+        # Consecutive timeouts by role, with no response of any engine in between.
         self.timeouts = Counter[str]()
 
     @property
     def engines(self) -> dict[str, Engine]:
-        """All engines by id."""
+        """The pool's engines by id."""
         return self.pool.engines
 
     @property
@@ -95,10 +96,10 @@
     # Paces
 
     def typical_pace(self, role: str) -> float:
-        """The median pace of a role's engines.
+        """Return the median pace of a role's engines, which a few outliers don't change.
 
-        Where most engines are seldom seen, as with many gateways, it is the median of the role's
-        last samples. A few outliers don't move it.
+        Where this gateway has few samples of most engines, as one of many gateways has, it is the
+        median of the role's last samples instead.
         """
         pace: float = self.pool.memoize_briefly("typical", role, lambda: self._median_pace(role))
         return pace
@@ -117,23 +118,23 @@
         return median(paces)
 
     def slowness(self, engine: Engine) -> float:
-        """How many times slower than its peers an engine is, at least 1.
+        """Return the ratio of an engine's pace to the typical one, at least 1.
 
-        If all are slow, nobody stands out. Few samples are believed less.
+        If all engines of a role are slow, the ratio is 1. With few samples it is moved towards 1.
         """
-        found = 1.0
+        slowness = 1.0
         if engine.samples:
-            belief = min(engine.samples, TRUSTED_PACE_SAMPLES) / TRUSTED_PACE_SAMPLES
-            found = max(1.0, engine.pace / self.typical_pace(engine.role)) ** belief
-        return max(found, 1 / self.slow_start.capacity_share(engine))
+            confidence = min(engine.samples, TRUSTED_PACE_SAMPLES) / TRUSTED_PACE_SAMPLES
+            slowness = max(1.0, engine.pace / self.typical_pace(engine.role)) ** confidence
+        return max(slowness, 1 / self.slow_start.capacity_share(engine))
 
     def record_pace(self, engine: Engine, pace: float, now: int, timed_out: bool = False) -> None:
-        """Learn from one sample of an engine's pace, and eject it if it is far too slow.
+        """Add a sample to an engine's pace, and eject the engine if it is far too slow.
 
-        A timeout without any sign of life says something of its engine alone, which may be dead or
-        cut off: it lengthens further timeouts (Karn's algorithm), and counts for the role only
-        where nothing answers. Otherwise a cut link makes a gateway predict ten times too long
-        latencies, and so reject all requests.
+        A timeout without any response concerns its engine alone, which may be dead or unreachable.
+        It lengthens further timeouts, as in Karn's algorithm, and counts towards the role's pace
+        only while no engine of the role answers. Otherwise a cut link would make a gateway predict
+        latencies that are ten times too long, and so reject all requests.
         """
         pace = max(pace, 1.0)
         self._update_pace(engine, pace)
@@ -146,7 +147,7 @@
             self.eject(engine, now)
 
     def _update_pace(self, engine: Engine, pace: float) -> None:
-        """Average in proportions: the mean is a geometric one."""
+        """Update an engine's pace, a geometric moving average of its samples."""
         gain = TRIAL_PACE_GAIN if engine.ejections else max(PACE_GAIN, 1 / (engine.samples + 1))
         if engine.samples:
             pace = engine.pace ** (1 - gain) * pace**gain
@@ -156,28 +157,28 @@
     # Failures and ejections
 
     def record_success(self, engine: Engine) -> None:
-        """An engine has served an attempt."""
+        """Record that an engine has served an attempt."""
         engine.consecutive_failures = 0
         if engine.last_response >= engine.ejected_until:
             engine.ejections = 0
 
     def record_failure(self, engine: Engine, now: int, unresponsive: bool = False) -> None:
-        """An engine has failed, or gives no sign of life."""
-        # That a warming engine is slow to answer is of no concern to other gateways.
+        """Record that an engine has failed or does not respond."""
+        # A late response of an engine in slow start is expected, and not worth a failure report.
         if not unresponsive or not self.slow_start.is_warming_up(engine, now):
             self.report_failure(engine.id)
-        seen_of_late = now - engine.last_response < EJECTION_MAX_NS
-        # An engine that is seldom seen is ejected without waiting for a second failure.
-        engine.consecutive_failures += 1 if seen_of_late else MAX_CONSECUTIVE_FAILURES
+        responded_recently = now - engine.last_response < EJECTION_MAX_NS
+        # An engine that this gateway seldom uses is ejected at its first failure.
+        engine.consecutive_failures += 1 if responded_recently else MAX_CONSECUTIVE_FAILURES
         if engine.consecutive_failures >= MAX_CONSECUTIVE_FAILURES or engine.ejections:
             self.eject(engine, now)
 
     def eject(self, engine: Engine, now: int) -> None:
-        """Keep requests away from an engine for a while, with backoff and jitter.
+        """Send no requests to an engine for a time with exponential backoff and jitter.
 
-        The jitter keeps gateways from coming back at the same time. Ejections could do harm when
-        many engines suffer at once; candidates() believes them only up to MAX_EJECTED_SHARE of a
-        role.
+        The jitter keeps gateways from returning to the engine all at once. Ejecting many engines at
+        once would overload the rest, and so candidates() ignores ejections of more than
+        MAX_EJECTED_SHARE of a role.
         """
         if now < engine.ejected_until:
             return
@@ -191,26 +192,27 @@
         jitter = EJECTION_JITTER_MIN + EJECTION_JITTER_RANGE * self.random_number()
         engine.ejected_until = now + int(duration * jitter)
         engine.ejections += 1
-        engine.consecutive_failures = 0  # the pace stays: timeouts must grow while all are slow
+        engine.consecutive_failures = 0
+        # The pace is kept, since timeouts have to grow while all engines are slow.
 
     # Candidates
 
     def is_unresponsive(
         self, engine: Engine, attempt: Attempt, now: int, share: float = 1.0
     ) -> bool:
-        """Whether the engine gave no sign of life for a share of the response timeout."""
+        """Return whether the engine did not respond for a share of the response timeout."""
         if engine.last_response >= attempt.sent_at:
             return False
         return now - attempt.sent_at > attempt.response_timeout * share
 
     def is_healthy(self, engine: Engine, now: int) -> bool:
-        """Whether the engine is neither ejected nor suspected of being unresponsive.
+        """Return whether the engine is neither ejected nor probably unresponsive.
 
-        After an ejection it is half-open: it gets one request at a time.
+        After an ejection it is half-open: until a success it gets one request at a time.
         """
         if now < engine.ejected_until:
             return False
-        if not engine.pending:  # most of a large fleet: the hot path builds no generator
+        if not engine.pending:  # so for most of a large fleet: avoids building a generator
             return True
         if engine.ejections:
             return False
@@ -223,7 +225,7 @@
         return self.slow_start.budget(engine, now) > 0
 
     def candidates(self, role: str, now: int) -> list[Engine]:
-        """The engines of a role that can be chosen."""
+        """Return the engines of a role that can be chosen."""
         found: list[Engine] = self.pool.memoize(
             "candidates", role, lambda: self._find_candidates(role, now)
         )
@@ -233,14 +235,21 @@
         ready = self.pool.ready(role)
         healthy = [engine for engine in ready if self.is_healthy(engine, now)]
         if len(healthy) < len(ready) * (1 - MAX_EJECTED_SHARE):
-            # A judgement against so many is more likely wrong, or leaves nothing better.
+            # So many ejections are more likely wrong than right, or leave no better engines.
             healthy = ready
         return [engine for engine in healthy if self._has_budget(engine, now)]
 
     def sample_candidates(
         self, role: str, now: int, salt: str, preferred: list[list[Engine]]
     ) -> list[Engine]:
-        """Up to MAX_CANDIDATES engines of a large fleet that can be chosen, preferred first."""
+        """Return up to MAX_CANDIDATES engines of a large fleet that can be chosen.
+
+        Args:
+            role: the role of the engines.
+            now: the present time.
+            salt: selects the sample.
+            preferred: groups of engines that are considered before the sample.
+        """
         sample = list(sample_evenly(self.pool.ready(role), salt, SAMPLE_SIZE))
         groups = [*preferred, sample]
 
@@ -249,7 +258,7 @@
 
         found = collect_accepted(groups, can_be_chosen, MAX_CANDIDATES)
         if len(found) < min(MAX_CANDIDATES, len(sample) * (1 - MAX_EJECTED_SHARE)):
-            # As in candidates(): so many ejections are not believed.
+            # As in candidates(), so many ejections are ignored.
             found = collect_accepted(
                 groups, lambda engine: self._has_budget(engine, now), MAX_CANDIDATES
             )
@@ -257,5 +266,5 @@
 
 
 def initial_pace(role: EngineRole) -> int:
-    """The pace of a role's engines before any is seen."""
+    """Return the assumed pace of a role's engines before the first sample."""
     return INITIAL_READ_PACE_NS if role is EngineRole.READER else INITIAL_FIRST_TOKEN_NS
--- a/claycross/routing/prefix_cache.py
+++ b/claycross/routing/prefix_cache.py
@@ -1,6 +1,6 @@
-"""An index of what readers have cached of prompts, by shared prefix and by session.
+"""An index of the prompts that readers have cached, by shared prefix and by session.
 
-It is an estimate from the reads that this gateway sent: engines do not report their caches.
+It is an estimate from the reads that this gateway sent, since engines do not report their caches.
 """
 
 from __future__ import annotations
@@ -10,51 +10,51 @@
 from ..interface import RequestArrived
 
 SECOND = 1_000_000_000  # ns
-# A credit that is not renewed for so long is forgotten.
+# Time after which a credit expires unless another read renews it.
 CREDIT_LIFETIME_NS = 30 * SECOND
-# Prefixes, and sessions, that are kept.
+# Maximum number of prefixes, and of sessions.
 MAX_ENTRIES = 8192
-# Decayed arrivals, under which a prefix's demand is forgotten.
+# Demand in decayed arrivals below which a prefix is dropped from the demand table.
 MIN_DEMAND = 0.1
-# The key of all arrivals in the demand, whatever their prefix.
+# Key of the demand for all prefixes together.
 ALL_PREFIXES = ""
 
 
 class Credit(NamedTuple):
-    """A prefix that was read at some reader."""
+    """A prefix that a reader has read."""
 
     tokens: int
-    at: int
+    at: int  # time of the last read
 
 
 class SessionRecord(NamedTuple):
-    """Where a session's last prompt was read."""
+    """The reader of a session's last prompt."""
 
     reader: str
-    prompt: int
-    at: int
+    prompt: int  # tokens
+    at: int  # time of the read
 
 
 NO_SESSION = SessionRecord("", 0, 0)
 
 
 class PrefixCacheIndex:
-    """Which readers read each prefix, and each session's last reader and prompt length."""
+    """The readers of each prefix, and the last reader and prompt length of each session."""
 
     def __init__(self) -> None:
-        # Prefix -> reader -> credit; the prefix that was not read for longest comes first.
+        # Prefix -> reader -> credit; the least recently read prefix comes first.
         self.prefixes: dict[str, dict[str, Credit]] = {}
         self.sessions: dict[str, SessionRecord] = {}  # oldest first
-        self.credited_tokens: dict[str, int] = {}  # reader -> prefix tokens credited there
+        self.credited_tokens: dict[str, int] = {}  # reader -> sum of its credits
         self.demand: dict[str, float] = {}  # prefix -> decayed arrivals
 
     def record_arrival(self, arrival: RequestArrived) -> None:
-        """Count a request towards the demand for its prefix and towards all demand."""
+        """Count a request towards the demand for its prefix and for all prefixes."""
         for key in {arrival.prefix, ALL_PREFIXES}:
             self.demand[key] = self.demand.get(key, 0.0) + 1
 
     def record_read(self, arrival: RequestArrived, reader: str, now: int) -> None:
-        """Credit a reader with the prompt that it has just read."""
+        """Credit a reader with a prompt that it has read."""
         if arrival.prefix:
             self._credit_prefix(arrival, reader, now)
         if arrival.session:
@@ -63,10 +63,10 @@
         self._evict()
 
     def _credit_prefix(self, arrival: RequestArrived, reader: str, now: int) -> None:
-        """Credit a reader with the prefix, which becomes the newest one."""
+        """Credit a reader with a prefix, which becomes the most recent one."""
         credits_by_reader = self.prefixes.pop(arrival.prefix, {})
-        former = credits_by_reader.get(reader)
-        self._add_tokens(reader, arrival.prefix_tokens - (former.tokens if former else 0))
+        previous = credits_by_reader.get(reader)
+        self._add_tokens(reader, arrival.prefix_tokens - (previous.tokens if previous else 0))
         credits_by_reader[reader] = Credit(arrival.prefix_tokens, now)
         self.prefixes[arrival.prefix] = credits_by_reader
 
@@ -74,7 +74,7 @@
         self.credited_tokens[reader] = self.credited_tokens.get(reader, 0) + tokens
 
     def _evict(self) -> None:
-        """Forget the oldest prefix and session beyond the table's capacity."""
+        """Drop the oldest prefix and the oldest session beyond MAX_ENTRIES."""
         if len(self.prefixes) > MAX_ENTRIES:
             oldest = self.prefixes.pop(next(iter(self.prefixes)))
             for reader, credit in oldest.items():
@@ -83,7 +83,7 @@
             del self.sessions[next(iter(self.sessions))]
 
     def matches(self, arrival: RequestArrived, now: int) -> dict[str, int]:
-        """Tokens of this prompt credited at each reader that has any."""
+        """Return the credited tokens of a prompt by reader, without readers that have none."""
         found = {
             reader: min(credit.tokens, arrival.prompt_tokens)
             for reader, credit in self.prefixes.get(arrival.prefix, {}).items()
@@ -91,12 +91,12 @@
         }
         last = self.sessions.get(arrival.session, NO_SESSION)
         if last.reader and now - last.at < CREDIT_LIFETIME_NS:
-            of_session = min(last.prompt, arrival.prompt_tokens)
-            found[last.reader] = max(found.get(last.reader, 0), of_session)
+            session_tokens = min(last.prompt, arrival.prompt_tokens)
+            found[last.reader] = max(found.get(last.reader, 0), session_tokens)
         return found
 
     def forget_reader(self, reader: str) -> None:
-        """Drop a reader's credits: it restarted, left, or had far less cached than credited."""
+        """Drop a reader's credits, because it restarted, was removed or lost its cache."""
         credited = [prefix for prefix, readers in self.prefixes.items() if reader in readers]
         for prefix in credited:
             del self.prefixes[prefix][reader]
@@ -108,7 +108,7 @@
         self.credited_tokens.pop(reader, None)
 
     def age(self, now: int, elapsed: int) -> None:
-        """Forget expired credits and sessions, and let the demand decay.
+        """Drop expired credits and sessions, and decay the demand.
 
         Args:
             now: the present time.
--- a/claycross/routing/reachability.py
+++ b/claycross/routing/reachability.py
@@ -1,4 +1,4 @@
-"""Prefers engines that this gateway can reach: zones that respond, and open connections."""
+"""Prefers engines that this gateway can probably reach, by zone and by open connections."""
 
 from __future__ import annotations
 
@@ -10,34 +10,36 @@
 from .request_state import Request
 
 SECOND = 1_000_000_000  # ns
-MIN_CONNECT_FAILURES = 2  # so many within the window: only open connections are used
+# Failures of new connections within the window after which open connections are preferred.
+MIN_CONNECT_FAILURES = 2
 CONNECT_FAILURE_WINDOW_NS = 2 * SECOND
 
 
 class Reachability:
-    """Which engines can be reached, by the recent results of this gateway."""
+    """Tracks which engines can be reached, by the recent attempts of this gateway."""
 
     def __init__(self, connection_idle_timeout: int):
         self.connection_idle_timeout = connection_idle_timeout
         self.zones = ZoneReachability()
-        self.connect_failures = deque[int](maxlen=MIN_CONNECT_FAILURES)  # when the last ones were
+        self.connect_failures = deque[int](maxlen=MIN_CONNECT_FAILURES)  # times
 
     def record_connect_failure(self, now: int) -> None:
-        """A new connection did not come up."""
+        """Record that a new connection was not established."""
         self.connect_failures.append(now)
 
     def connections_fail(self, now: int) -> bool:
-        """Whether new connections keep failing at this gateway."""
+        """Return whether new connections of this gateway have failed repeatedly of late."""
         failures = self.connect_failures
         if len(failures) < MIN_CONNECT_FAILURES:
             return False
         return now - failures[0] < CONNECT_FAILURE_WINDOW_NS
 
     def prefer_reachable(self, request: Request, engines: list[Engine], now: int) -> list[Engine]:
-        """The engines in reachable zones; while connections fail, those with an open one.
+        """Return the engines in reachable zones and, while connections fail, with an open one.
 
-        Each condition is dropped if no engine meets it. This protects requests from cut links, slow
-        connection setup and full connection tables; it could crowd the few open connections.
+        A condition that no engine meets is ignored. This protects requests from cut links, slow
+        connection setup and full connection tables. Its risk is to crowd the few engines with an
+        open connection.
         """
         engines = [
             engine for engine in engines if not self.zones.is_suspect(engine.entry.zone, now)
--- a/claycross/routing/request_ending.py
+++ b/claycross/routing/request_ending.py
@@ -1,4 +1,4 @@
-"""Ends requests: answers them, cancels their attempts and releases what engines hold for them."""
+"""Ends requests: answers them, cancels their attempts and releases their state at engines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestFinisher:
-    """The one place where requests end."""
+    """Ends all requests of a router, so that none is answered twice or keeps its state."""
 
     def __init__(self, state: SharedState):
         self.settings = state.settings
@@ -18,7 +18,7 @@
         self.actions = state.actions
 
     def end(self, request: Request, answer: RejectRequest | FailRequest | None) -> None:
-        """End a request; every request ends here, and what engines hold for it is released."""
+        """End a request, with an answer unless the client has one or has left."""
         if request.stage == RequestStage.ENDED:
             return
         streaming = request.stage == RequestStage.STREAMING
@@ -37,21 +37,21 @@
                 self.actions.add(CancelAttempt(request.id, attempt.number))
 
     def forget_if_idle(self, request: Request) -> None:
-        """Forget an ended request once its last attempt is over."""
+        """Release the state of an ended request and remove it once no attempt is in flight."""
         if request.attempts_in_flight == 0:
             self.release(request)
             self.load_gossip.work_ended(request.id)
             self.table.remove(request)
 
     def release(self, request: Request) -> None:
-        """Release what engines hold for the request, if anything."""
+        """Release the state that engines may hold for the request."""
         if request.may_hold_state:
             request.may_hold_state = False
             request.state_holder = None
             self.actions.add(ReleaseState(request.id))
 
     def give_up(self, request: Request, retry_after: int = 0, reason: str = "") -> None:
-        """Answer a request that can't be served: rejected if a retry does no harm, else failed."""
+        """Reject a request that can't be served, or fail it if a client's retry could do harm."""
         if not may_reject(request):
             self.end(request, FailRequest(request.id))
             return
--- a/claycross/routing/request_state.py
+++ b/claycross/routing/request_state.py
@@ -7,18 +7,18 @@
 from ..interface import RequestArrived, RequestClass
 from .engine import Attempt, Engine
 
-# Share of the output token limit that an answer is taken to use when no duration hint was given.
+# Expected length of an answer without a duration hint, as a share of the output token limit.
 DEFAULT_OUTPUT_SHARE = 0.5
 
 
 class RequestStage(StrEnum):
-    """How far a request has come."""
+    """The processing stage of a request."""
 
-    QUEUED = "queued"  # waits for a reader, or for memory at the writers
+    QUEUED = "queued"  # waits for a reader or for free writer memory
     READING = "reading"
-    AWAITING_WRITER = "awaiting_writer"  # read; its state waits at the reader
+    AWAITING_WRITER = "awaiting_writer"  # its prompt was read; the reader holds its state
     WRITING = "writing"
-    STREAMING = "streaming"  # the first token went to the client
+    STREAMING = "streaming"  # the first token was sent to the client
     ENDED = "ended"  # answered; attempts may still be in flight
 
 
@@ -41,15 +41,15 @@
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.state_holder: Engine | None = None  # the reader that holds its state
-        self.may_hold_state = False  # some engine may hold a state or a place for it
-        self.last_result_at = now  # when its last attempt that was sent ended
+        self.may_hold_state = False  # an engine may hold its state or reserve memory for it
+        self.last_result_at = now  # end of its last attempt that reached an engine
         self.over_quota = False
         self.failed_engines: list[str] = []
-        self.unresponsive_zones: set[str] = set()  # where an engine gave no sign of life
+        self.unresponsive_zones: set[str] = set()  # zones where an engine did not respond to it
 
 
 def expected_output_tokens(arrival: RequestArrived, request_class: RequestClass) -> float:
-    """The length of the answer, from the client's duration hint or else from the token limit."""
+    """Estimate the length of an answer from the client's duration hint or the token limit."""
     if not request_class.token_interval_objective or not arrival.answer_duration_hint:
         return arrival.max_output_tokens * DEFAULT_OUTPUT_SHARE
     hinted = arrival.answer_duration_hint / request_class.token_interval_objective
--- a/claycross/routing/request_table.py
+++ b/claycross/routing/request_table.py
@@ -1,16 +1,16 @@
-"""The requests of a router that are not over, by number and by what they wait for."""
+"""The open requests of a router, by number and by what they wait for."""
 
 from __future__ import annotations
 
 from .request_state import Request, RequestStage
 
 SECOND = 1_000_000_000  # ns
-# After its deadline, a request whose last result never came is forgotten.
+# Time after its deadline at which a request is dropped though a result is missing.
 FORGET_AFTER_NS = 300 * SECOND
 
 
 class RequestTable:
-    """All open requests, and those among them that wait to be sent."""
+    """All open requests, and the queues of those that wait to be sent."""
 
     def __init__(self) -> None:
         self.requests: dict[int, Request] = {}
@@ -18,31 +18,31 @@
         self.awaiting_writer: dict[int, Request] = {}
 
     def add(self, request: Request) -> None:
-        """Add a new request, which is queued."""
+        """Add a new request to the queue of reads."""
         self.requests[request.id] = request
         self.queued[request.id] = request
 
     def enqueue(self, request: Request) -> None:
-        """Let a request wait to be read, again."""
+        """Queue a request for another read."""
         request.stage = RequestStage.QUEUED
         self.queued[request.id] = request
 
     def await_writer(self, request: Request) -> None:
-        """Let a request whose prompt was read wait for a writer."""
+        """Queue a request whose prompt was read for a writer."""
         request.stage = RequestStage.AWAITING_WRITER
         self.awaiting_writer[request.id] = request
 
     def stop_waiting(self, request: Request) -> None:
-        """The request waits no longer to be sent."""
+        """Remove a request from both queues."""
         self.queued.pop(request.id, None)
         self.awaiting_writer.pop(request.id, None)
 
     def remove(self, request: Request) -> None:
-        """Forget a request."""
+        """Remove a request from the table."""
         self.requests.pop(request.id, None)
 
     def forget_expired(self, now: int) -> None:
-        """Forget requests whose results are not to be expected any more."""
+        """Drop requests whose missing results are no longer expected."""
         self.requests = {
             number: request
             for number, request in self.requests.items()
@@ -50,5 +50,5 @@
         }
 
     def has_waiting(self) -> bool:
-        """Whether any request waits to be sent."""
+        """Return whether any request waits to be sent."""
         return bool(self.queued or self.awaiting_writer)
--- a/claycross/routing/retry_rules.py
+++ b/claycross/routing/retry_rules.py
@@ -1,6 +1,6 @@
 """Which engines a request may be sent to, and whether it may be rejected, given its attempts.
 
-The rules themselves are in requests/preconditions.py; this module applies them to router state.
+The rules are defined in requests/preconditions.py; this module applies them to router state.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 from .engine import Attempt, Engine
 from .request_state import Request
 
-IDEMPOTENT = Effect.IDEMPOTENT  # bound here because it is compared for each engine
+# Compared for each engine, and bound here to save attribute lookups.
+IDEMPOTENT = Effect.IDEMPOTENT
 
 
 def attempts_that_may_have_run(request: Request) -> list[Attempt]:
-    """The attempts that may have had an effect."""
+    """Return the attempts that may have had an effect."""
     return [
         attempt
         for attempt in request.attempts
@@ -25,7 +26,7 @@
 
 
 def earlier_attempts(request: Request) -> list[preconditions.EarlierAttempt]:
-    """The attempts that may have run, in the form that the preconditions take."""
+    """Return the attempts that may have run, in the form that the preconditions take."""
     return [
         preconditions.EarlierAttempt(
             attempt.sent_at, attempt.engine.entry.zone, attempt.engine.entry.cell
@@ -35,7 +36,7 @@
 
 
 def may_send(request: Request, engine: Engine, now: int, tick: int) -> bool:
-    """Whether the request may be sent to this engine, even if only to be read."""
+    """Return whether the request may be sent to this engine, be it for a read or a write."""
     if request.request_class.effect == IDEMPOTENT:
         return True
     earlier = earlier_attempts(request)
@@ -46,7 +47,7 @@
 
 
 def allowed_engines(request: Request, engines: list[Engine], now: int, tick: int) -> list[Engine]:
-    """Those of the engines that the request may be sent to."""
+    """Return those of the engines that the request may be sent to."""
     if request.request_class.effect == IDEMPOTENT:
         return engines
     earlier = earlier_attempts(request)
@@ -61,15 +62,15 @@
 
 
 def may_send_to_any(request: Request, engines: Iterable[Engine], now: int, tick: int) -> bool:
-    """Whether the request may be sent to any of the engines."""
+    """Return whether the request may be sent to any of the engines."""
     not_idempotent = request.request_class.effect == Effect.NOT_IDEMPOTENT
     if not_idempotent and attempts_that_may_have_run(request):
-        return False  # known without looking at each engine
+        return False  # no engine needs to be checked
     return any(may_send(request, engine, now, tick) for engine in engines)
 
 
 def may_reject(request: Request) -> bool:
-    """Whether the client may be told that a retry does no harm."""
+    """Return whether the request may be rejected, which tells the client to retry safely."""
     if request.request_class.effect == IDEMPOTENT:
         return True
     earlier = earlier_attempts(request)
@@ -79,9 +80,9 @@
 
 
 def may_cancel(request: Request, attempt: Attempt) -> bool:
-    """Whether cancelling the attempt leaves the request another way to succeed.
+    """Return whether the request can still succeed after the attempt is cancelled.
 
-    A write that must not run twice has no other way: until its deadline a late first token is
-    worth more than a certain failure.
+    A write that must not run twice can't: until its deadline, a late first token is worth more than
+    a certain failure.
     """
     return attempt.is_read or request.request_class.effect != Effect.NOT_IDEMPOTENT
