--- a/claycross/routing/router.py
+++ b/claycross/routing/router.py
@@ -1,7 +1,7 @@
-"""The router: takes the events of interface.py (claycross/interface.py) and returns actions.
+"""The router: handles the events of interface.py (claycross/interface.py) and returns actions.
 
-It coordinates the parts of this package, each of which owns its state. It does no I/O, reads no
-clock and shares nothing between routers. The design is described in docs/design.md.
+It coordinates the components of this package, each of which owns its state. It does no I/O, reads
+no clock and shares no state with other routers. The design is described in docs/design.md.
 """
 
 from __future__ import annotations
@@ -66,25 +66,25 @@
 WATCH_RETRY_TIMER = Timer(TimerKind.WATCH_RETRY)
 SWEEP_TIMER = Timer(TimerKind.SWEEP)
 
-# Until the endpoint list is asked for again; doubled for each failure in a row.
+# Delay before the endpoint list is requested again, doubled for each consecutive failure.
 WATCH_RETRY_BASE_NS = 125 * MS
 WATCH_RETRY_MAX_DOUBLINGS = 6
-# The longest such delay; what discovery publishes counts only 6 s later.
+# Maximum of that delay; changes that discovery publishes take effect only 6 s later.
 WATCH_RETRY_MAX_NS = 3 * SECOND
-# Gateways, this one included, that met a failure of an engine before it is ejected on their word.
+# Gateways, including this one, that must have seen failures of an engine before gossip ejects it.
 MIN_FAILURE_REPORTERS = 2
-# Ticks before the end of a request in which it is answered.
+# Ticks before the client's timeout at which a request is answered.
 DEADLINE_MARGIN_TICKS = 3
-# Between sweeps while requests wait for an engine.
+# Time between sweeps while requests wait for an engine.
 SWEEP_INTERVAL_NS = 20 * MS
-# Between sweeps while attempts are merely in flight.
+# Time between sweeps while attempts are in flight and no request waits.
 IDLE_SWEEP_INTERVAL_NS = 100 * MS
-# Between decays of the tables.
+# Minimum time between two expirations of table entries.
 AGING_INTERVAL_NS = SECOND
 
 
 class Router:
-    """One gateway's decisions on its requests."""
+    """Makes one gateway's decisions on its requests."""
 
     def __init__(self, settings: Settings, seed: int):
         self.settings = settings
@@ -122,10 +122,10 @@
         self.starter = AttemptStarter(state, self.supervisor)
         self.finisher = RequestFinisher(state)
         self.dispatcher = Dispatcher(state, self.admission, self.starter, self.finisher)
-        self.started = False  # the endpoint list was asked for
-        self.failed_list_polls = 0  # in a row
-        self.sweep_at = 0  # when the sweep timer is due
-        self.aged_at = 0  # when the tables last decayed
+        self.started = False  # the first batch of events was handled
+        self.failed_list_polls = 0  # consecutive ones
+        self.sweep_at = 0  # due time of the sweep timer
+        self.aged_at = 0  # time of the last expiration of table entries
         self.handlers: dict[type, Callable[[Any], None]] = {
             AttemptFinished: self._on_attempt_finished,
             RequestArrived: self._on_request_arrived,
@@ -139,7 +139,7 @@
         }
 
     def _new_load_gossip(self) -> LoadGossip:
-        """Gossip among all gateways; among many, one of them aggregates."""
+        """Create the load gossip: full for few gateways, aggregated for many."""
         settings = self.settings
         if not self.gossips or settings.gateway_count <= settings.aggregate_above:
             return LoadGossip(settings.gateway_count, tag)
@@ -153,11 +153,11 @@
         )
         return AggregatedLoad(settings.gateway_count, tag, settings.gateway_number, writer_memory)
 
-    # What is captured for, and restored from, a warm-start snapshot (recovery/warm_start.py).
+    # Measurements that a warm-start snapshot captures and restores (recovery/warm_start.py).
 
     @property
     def prediction_error_quantiles(self) -> list[float]:
-        """Quantiles of the factor by which reads outlast their prediction."""
+        """Quantiles of the ratio of the measured to the predicted latency of reads."""
         return self.predictor.error_quantiles
 
     @prediction_error_quantiles.setter
@@ -180,13 +180,13 @@
 
     @property
     def zones(self) -> ZoneReachability:
-        """Which zones can be reached."""
+        """The reachability of zones."""
         return self.reachability.zones
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take the events of one moment, and return what to do."""
+        """Handle a batch of events that happened at the same time, and return the actions."""
         self.now = now
-        self.actions.take()  # what an exception may have left of the batch before
+        self.actions.take()  # discards what an exception may have left of the last batch
         if not self.started and self.settings.polls_endpoint_list:
             self.actions.add(WatchEndpoints())
         self.started = True
@@ -212,7 +212,7 @@
         self.endpoints.update(event)
 
     def _retry_watch(self) -> None:
-        """Ask for the endpoint list again, after a delay with backoff and jitter."""
+        """Request the endpoint list again, after a delay with backoff and jitter."""
         self.failed_list_polls += 1
         doublings = min(self.failed_list_polls, WATCH_RETRY_MAX_DOUBLINGS)
         delay = min(WATCH_RETRY_MAX_NS, WATCH_RETRY_BASE_NS << doublings)
@@ -221,11 +221,11 @@
         self.actions.log("list", "discovery does not answer; working from the last list", self.now)
 
     def _on_gossip_received(self, event: GossipReceived) -> None:
-        """Count the failures that other gateways report together with this gateway's own.
+        """Eject engines by the failure reports of other gateways and this gateway's own failures.
 
-        Otherwise each of many gateways finds out for itself about an engine that fails fast, which
-        draws requests because it looks empty. So that a false alarm does not spread, it takes two
-        reporters, and only failures are reported, never slowness, which is mostly load.
+        Otherwise each of many gateways has to detect an engine that fails fast by itself, while the
+        engine attracts requests because it looks empty. Two reporters are required, so that a false
+        alarm does not spread. Slowness is not reported, since it is mostly caused by load.
         """
         for failed_tag in self.load_gossip.receive(self.now, event.sender, event.payload):
             for engine in self.endpoints.engines_with_tag(failed_tag):
@@ -253,7 +253,7 @@
     def _find_attempt(
         self, event: StreamStarted | AttemptFinished
     ) -> tuple[Request, Attempt] | None:
-        """The request and its attempt, if that is in flight; ids may be stale or repeated."""
+        """Return the request and its attempt if that is in flight; ids may be stale or repeated."""
         request = self.requests.get(event.request)
         if request is None:
             return None
@@ -296,7 +296,7 @@
         attempt.result = event.result
         request.attempts_in_flight -= 1
         if event.result not in preconditions.NOT_SENT:
-            # While connections don't come up, the time to release its state runs on.
+            # Failed connections don't extend the time until its state has to be released.
             request.last_result_at = self.now
         self.results.record(request, attempt, event, self.now)
         if request.stage != RequestStage.ENDED and event.request_over:
@@ -309,7 +309,7 @@
             self._continue(request, attempt, event)
 
     def _continue(self, request: Request, attempt: Attempt, event: AttemptFinished) -> None:
-        """Go on with a request that its last attempt did not end."""
+        """Queue a request for its next attempt."""
         if event.result == AttemptResult.READ:
             request.state_holder = attempt.engine
             request.may_hold_state = True
@@ -317,13 +317,13 @@
             return
         if event.result != AttemptResult.LOCAL_ERROR:
             request.failed_engines.append(attempt.engine.id)
-        # Released before the write can have arrived.
-        state_gone = event.state_released and attempt.failed_connection_checks > 0
+        # The state was released, probably before the write could arrive.
+        state_lost = event.state_released and attempt.failed_connection_checks > 0
         must_read = (
             attempt.is_read
             or event.result == AttemptResult.STATE_MISSING
             or request.state_holder is None
-            or state_gone
+            or state_lost
         )
         if must_read:
             request.state_holder = None
@@ -332,7 +332,7 @@
             self.table.await_writer(request)
 
     def _supervise_attempts(self) -> None:
-        """Look for unresponsive engines: a dead one sends no reset."""
+        """Look for unresponsive engines, since a dead machine does not reset its connections."""
         if not self.settings.may_cancel:
             return
         for action in self.supervisor.check_all(self.requests.values(), self.now):
@@ -348,7 +348,7 @@
         self.table.forget_expired(self.now)
 
     def _schedule_sweep(self) -> None:
-        """Keep one sweep timer running while anything is open."""
+        """Keep a sweep timer set while requests are open or gossip is pending."""
         waiting = self.table.has_waiting()
         due = self.now + (SWEEP_INTERVAL_NS if waiting else IDLE_SWEEP_INTERVAL_NS)
         if not self.requests and not self.load_gossip.has_pending(self.now):
--- a/claycross/routing/shared_state.py
+++ b/claycross/routing/shared_state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of one router share."""
+"""The state that the components of one router share."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedState:
-    """What one router knows; each field is changed by its own methods alone."""
+    """References to the shared state; each object is changed only by its own methods."""
 
     settings: Settings
-    gossips: bool  # whether this gateway tells others of its load
+    gossips: bool  # this gateway sends load gossip
     actions: ActionQueue
     table: RequestTable
     load_gossip: LoadGossip
--- a/claycross/routing/slow_start.py
+++ b/claycross/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what engines that have just started may be sent, by all gateways together."""
+"""Slow start: limits what all gateways together send to an engine that has just started."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 READER = EngineRole.READER
 # The budget of an engine that is not warming up.
 UNLIMITED = float("inf")
-# Share of the budget of a warming engine that is used.
+# Share of the load limit of a warming engine that is used.
 BUDGET_SAFETY_FACTOR = 0.8
-# Share of this gateway's arrivals taken as served, where that is not known.
+# Share of this gateway's arrivals assumed to be served by a role while its rate is unknown.
 ASSUMED_SERVED_SHARE = 0.3
-# The key of arrivals among the rates; the others are roles.
+# Key of the arrival rate; the other keys are roles.
 ARRIVALS = ""
 
 
 class SlowStart:
-    """The budgets of warming engines, and the served rates from which they follow."""
+    """Computes the budgets of warming engines from the rates that warm engines serve."""
 
     def __init__(self, settings: Settings, pool: EnginePool):
         self.settings = settings
@@ -29,24 +29,24 @@
         self.rates = RateEstimator()
 
     def record_arrival(self, now: int) -> None:
-        """A request has arrived."""
+        """Count an arrival."""
         self.rates.count(ARRIVALS, now)
 
     def arrival_rate(self, now: int) -> float:
-        """Requests that arrive a nanosecond."""
+        """Return the rate of arrivals a nanosecond."""
         return self.rates.rate(ARRIVALS, now)
 
     def record_served(self, engine: Engine, now: int) -> None:
-        """An engine has served an attempt; only warm ones count."""
+        """Count an attempt that was served, if by a warm engine."""
         self.rates.count(engine.role, now, 0 if self.is_warming_up(engine, now) else 1)
 
     def is_warming_up(self, engine: Engine, now: int) -> bool:
-        """Whether the engine started a short while ago."""
+        """Return whether the engine started less than the slow start duration ago."""
         started_at = engine.entry.started_at
         return started_at > 0 and now - started_at < self.settings.slow_start_duration
 
     def capacity_share(self, engine: Engine) -> float:
-        """The share of its capacity that an engine has by now, at least."""
+        """Return the share of its full capacity that an engine has at least."""
         if not self.is_warming_up(engine, self.pool.now):
             return 1.0
         initial = self.settings.slow_start_initial
@@ -54,11 +54,11 @@
         return initial + (1 - initial) * age / self.settings.slow_start_duration
 
     def budget(self, engine: Engine, now: int) -> float:
-        """Sends that a warming engine may still get in this window; infinite for a warm one.
+        """Return the sends that an engine may still get in this window; no limit if it is warm.
 
-        A budget of less than one send a window is given as whole ones in some windows, gateways
-        taking turns: a minimum of one each would be as many as there are gateways. This could
-        starve an engine while few gateways have traffic.
+        A budget of less than one send a window becomes a whole send in some windows, in which
+        gateways take turns: a minimum of one send each would add up to the number of gateways. The
+        risk is to starve an engine while few gateways have traffic.
         """
         if not self.is_warming_up(engine, now):
             return UNLIMITED
@@ -74,26 +74,27 @@
             * settings.overload_window
         )
         offset = rank("turn", engine.id) + settings.gateway_number / settings.gateway_count
-        windows = (now - engine.entry.started_at) // window
-        share = int((windows + 1) * budget + offset) - int(windows * budget + offset)
+        past_windows = (now - engine.entry.started_at) // window
+        allowed = int((past_windows + 1) * budget + offset) - int(past_windows * budget + offset)
         if engine.role == READER:
-            # Prefix homes already limit what all gateways send there; with turns, each gateway
-            # would have other homes.
-            share = max(1, share)
-        return share - sum(weight for _, weight in engine.recent_sends)
+            # Prefix homes already limit the sends of all gateways to a reader; with turns, the
+            # gateways would disagree on the homes.
+            allowed = max(1, allowed)
+        return allowed - sum(weight for _, weight in engine.recent_sends)
 
     def _rate_of_warm_engine(self, role: str, now: int) -> float:
-        """What this gateway gets served by one warm engine of a role.
+        """Return the rate at which one warm engine of a role serves attempts of this gateway.
 
-        That is its part of what such an engine carries; sends would not do, because a retry storm
-        is not capacity. Where it is not known, part of the arrivals stands in.
+        It is this gateway's share of the engine's capacity. Served attempts are counted instead of
+        sends, because a retry storm is no sign of capacity. While the rate is unknown, it is
+        estimated from the arrivals.
         """
         ready = self.pool.ready(role)
 
         def count_warm() -> int:
             return sum(not self.is_warming_up(engine, now) for engine in ready)
 
-        warm: int = self.pool.memoize_briefly("warm", role, count_warm)
-        served = self.rates.rate(role, now) / max(1, warm)
+        warm_count: int = self.pool.memoize_briefly("warm", role, count_warm)
+        served = self.rates.rate(role, now) / max(1, warm_count)
         assumed = self.arrival_rate(now) * ASSUMED_SERVED_SHARE / len(ready)
         return max(served, assumed)
--- a/claycross/routing/tenant_quota.py
+++ b/claycross/routing/tenant_quota.py
@@ -1,23 +1,23 @@
-"""Token buckets that tell which requests exceed their tenant's quota."""
+"""Token buckets that mark the requests beyond their tenant's quota."""
 
 from __future__ import annotations
 
 from ..interface import Settings
 
 SECOND = 1_000_000_000  # ns
-QUOTA_BURST_S = 2.0  # of a tenant's rate that a bucket holds
-MIN_QUOTA_BURST_REQUESTS = 2.0  # requests that a bucket holds at least
+QUOTA_BURST_S = 2.0  # capacity of a bucket, in seconds of the tenant's rate
+MIN_QUOTA_BURST_REQUESTS = 2.0  # minimum capacity of a bucket
 
 
 class TenantQuotas:
-    """One token bucket for each tenant, of this gateway's part of the quota."""
+    """A token bucket for each tenant, with this gateway's share of the quota."""
 
     def __init__(self, settings: Settings):
         self.settings = settings
-        self.buckets: dict[str, tuple[float, int]] = {}  # tenant -> level, when it was
+        self.buckets: dict[str, tuple[float, int]] = {}  # tenant -> level and its time
 
     def over_quota(self, tenant: str, now: int) -> bool:
-        """Count one request; True if it exceeds the tenant's quota."""
+        """Count a request; returns True if it exceeds the tenant's quota."""
         quota = self.settings.tenants.get(tenant)
         if quota is None or quota.quota_per_s <= 0:
             return False
--- a/claycross/routing/writer_selection.py
+++ b/claycross/routing/writer_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the writer of a request: least projected memory, near the reader that has its state."""
+"""Chooses the writer of a request by projected memory and distance from the state's holder."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 WRITER = EngineRole.WRITER
 MIXED = EngineRole.MIXED
 
-# By how much of its memory a nearer writer may be fuller and still be chosen.
+# Memory share by which a writer in the same cell or zone may be fuller and still be preferred.
 OTHER_CELL_PENALTY = 0.10
 OTHER_ZONE_PENALTY = 0.15
-# Engines near the reader that are considered before others of a large fleet.
+# Writers of the holder's cell, and of its zone, in the sample of a large fleet.
 MAX_SAMPLED_NEARBY = 16
 
 
 class WriterSelector:
-    """Ranks writers, and mixed engines, for a request."""
+    """Selects the writer of a request among writers and mixed engines."""
 
     def __init__(self, settings: Settings, health: OutlierDetector, loads: LoadEstimator):
         self.settings = settings
@@ -33,7 +33,7 @@
         self.loads = loads
 
     def all_candidates(self, now: int) -> list[Engine]:
-        """The writers that can be chosen; of a large fleet a sample, the same for one batch."""
+        """Return the writers that can be chosen; of a large fleet one sample for each batch."""
         if not self.health.pool.large:
             return self._all_writers(now)
         found: list[Engine] = self.health.pool.memoize(
@@ -41,24 +41,26 @@
         )
         return found
 
-    def candidates(self, request: Request, near: EngineEndpoint | None, now: int) -> list[Engine]:
-        """The writers that can be chosen; of a large fleet a sample with those near an engine."""
+    def candidates(
+        self, request: Request, holder_endpoint: EngineEndpoint | None, now: int
+    ) -> list[Engine]:
+        """Return the writers that can be chosen; of a large fleet a sample with nearby ones."""
         if not self.health.pool.large:
             return self._all_writers(now)
-        return self._sample(str(request.id), near, now)
+        return self._sample(str(request.id), holder_endpoint, now)
 
     def _all_writers(self, now: int) -> list[Engine]:
         writers = self.health.candidates(WRITER, now)
         return writers + self.health.candidates(MIXED, now)
 
-    def _sample(self, salt: str, near: EngineEndpoint | None, now: int) -> list[Engine]:
+    def _sample(self, salt: str, holder_endpoint: EngineEndpoint | None, now: int) -> list[Engine]:
         index = self.health.pool.index
         found: list[Engine] = []
         for role in (WRITER, MIXED):
             preferred = []
-            if near:
-                in_cell = index.ready_in(role, near.zone, near.cell)
-                in_zone = index.ready_in(role, near.zone)
+            if holder_endpoint:
+                in_cell = index.ready_in(role, holder_endpoint.zone, holder_endpoint.cell)
+                in_zone = index.ready_in(role, holder_endpoint.zone)
                 preferred = [
                     list(sample_evenly(in_cell, salt, MAX_SAMPLED_NEARBY)),
                     list(sample_evenly(in_zone, salt, MAX_SAMPLED_NEARBY)),
@@ -69,10 +71,10 @@
     def pick(
         self, request: Request, holder: Engine | None, candidates: list[Engine], now: int
     ) -> Engine | None:
-        """The writer with the least projected memory share, or None.
+        """Return the writer with the least projected memory share; None without candidates.
 
-        Writers in the cell of the engine that holds the state come first, then those in its zone,
-        unless they are clearly fuller.
+        Writers in the cell of the engine that holds the state are preferred, then those in its
+        zone, unless they are fuller by more than the penalties.
         """
         zone = holder.entry.zone if holder else self.settings.zone
         cell = holder.entry.cell if holder else None
@@ -93,30 +95,35 @@
         return min(candidates, key=lambda engine: (cost(engine), -rank(str(request.id), engine.id)))
 
     def _exceeds_cell_writers(self, request: Request, cell: int) -> bool:
-        """Whether this request is of the part that the cell's own writers can't take."""
-        balance = self._share_ratio(cell, WRITER, READER)
-        return rank(str(request.id), "near") >= balance
+        """Return whether the request is in the share that the cell's writers can't take."""
+        return rank(str(request.id), "near") >= self._share_ratio(cell, WRITER, READER)
 
     def _with_spare_capacity(self, request: Request, candidates: list[Engine]) -> list[Engine]:
-        """Candidates of cells that have more writers than their own readers need."""
-        spare = {
+        """Return candidates in cells that have more writers than their own readers need."""
+        spare_shares = {
             engine.id: 1 - self._share_ratio(engine.entry.cell, READER, WRITER)
             for engine in candidates
         }
         return [
-            engine for engine in candidates if rank(engine.id, str(request.id)) < spare[engine.id]
+            engine
+            for engine in candidates
+            if rank(engine.id, str(request.id)) < spare_shares[engine.id]
         ]
 
     def _share_ratio(self, cell: int, role: EngineRole, other: EngineRole) -> float:
-        """The cell's share of one role over its share of the other, by the endpoint list.
+        """Return the cell's share of one role divided by its share of the other.
 
-        What a cell's writers can't take of its readers' work goes to cells with writers to spare.
-        Otherwise near writers fill while far ones idle, unseen by gateways that rarely send to any
-        one of them.
+        Reads of a cell that exceed the capacity of its writers continue in cells with spare
+        writers. Otherwise nearby writers fill up while distant ones are idle, unnoticed by gateways
+        that seldom send to any one of them.
         """
-        of_role = self._engines_by_cell(role)
-        of_other = self._engines_by_cell(other)
-        return of_role[cell] * of_other.total() / max(1, of_other[cell] * of_role.total())
+        role_counts = self._engines_by_cell(role)
+        other_counts = self._engines_by_cell(other)
+        return (
+            role_counts[cell]
+            * other_counts.total()
+            / max(1, other_counts[cell] * role_counts.total())
+        )
 
     def _engines_by_cell(self, role: EngineRole) -> Counter[int]:
         def count() -> Counter[int]:
