--- a/claycross/routing/attempt_results.py
+++ b/claycross/routing/attempt_results.py
@@ -92,7 +92,7 @@
         if event.result != AttemptResult.READ:  # the write of the request replaces the read
             self.load_gossip.work_ended(request.id)
         if attempt.is_read:
-            engine.reading = max(0.0, engine.reading - attempt.uncached_tokens)
+            engine.reading_tokens = max(0.0, engine.reading_tokens - attempt.uncached_tokens)
         if event.load_report is not None:
             engine.report = event.load_report
             engine.report_at = now
--- a/claycross/routing/attempt_start.py
+++ b/claycross/routing/attempt_start.py
@@ -125,7 +125,7 @@
         self.health.pool.invalidate("candidates", engine.role)
         if attempt.is_read:
             attempt.tokens_ahead = self.loads.tokens_ahead(engine, now)
-            engine.reading += attempt.uncached_tokens
+            engine.reading_tokens += attempt.uncached_tokens
             request.stage = RequestStage.READING
             request.may_hold_state = True
         else:
--- a/claycross/routing/engine.py
+++ b/claycross/routing/engine.py
@@ -45,7 +45,7 @@
         self.streams: dict[int, float] = {}  # request -> expected memory in tokens
         # Time and weight of recent sends, oldest first.
         self.recent_sends: deque[tuple[int, float]] = deque(maxlen=MAX_RECORDED_SENDS)
-        self.reading = 0.0  # prompt tokens of this gateway's reads in flight
+        self.reading_tokens = 0.0  # prompt tokens of this gateway's reads in flight
         self.reset()
 
     def reset(self) -> None:
--- a/claycross/routing/load_estimation.py
+++ b/claycross/routing/load_estimation.py
@@ -38,14 +38,14 @@
 
         The larger of the two estimates is taken, since the report includes this gateway's own work.
         """
-        known = engine.reading + self.load_gossip.load_of_others(READ, engine.id)
+        known = engine.reading_tokens + self.load_gossip.load_of_others(READ, engine.id)
         return max(known, self.reported_tokens(engine, 0.0, now))
 
     def reader_load(self, engine: Engine, if_unreported: float, now: int) -> float:
         """Return the prompt tokens waiting at a reader, weighted by its slowness."""
         others = self.load_gossip.load_of_others(READ, engine.id)
         others = others or self.reported_tokens(engine, if_unreported, now)
-        return (engine.reading + others) * self.health.slowness(engine)
+        return (engine.reading_tokens + others) * self.health.slowness(engine)
 
     def reader_loads(self, readers: list[Engine], now: int) -> dict[str, float]:
         """Return the load of each reader; one without a report gets the mean of the others."""
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -204,10 +204,10 @@
     d = RouterHarness(engines=["r1", *WRITERS])
     d.ask(1)
     d.router.health.engines["r1"].ejected_until = d.now + 10 * SECOND
-    d.do(i.EndpointListUpdate("changes", [entry("r1", "draining")]))
-    n = min(n for r, n in d.out if r == 1)
+    d.handle(i.EndpointListUpdate("changes", [entry("r1", "draining")]))
+    n = min(n for r, n in d.in_flight if r == 1)
     settled = d.now
-    d.do(AttemptFinished(1, n, d.out.pop((1, n)).engine, "reset", 50 * MS))
+    d.handle(AttemptFinished(1, n, d.in_flight.pop((1, n)).engine, "reset", 50 * MS))
     d.wait(290 * MS)
     assert [at for at, a in d.log if isinstance(a, ReleaseState)] and d.log[-1][
         0
@@ -291,7 +291,7 @@
                 for other in harnesses:
                     if other is not d:
                         other.now = max(other.now, now)
-                        other.do(i.GossipReceived(d.settings.gateway_number, a.payload))
+                        other.handle(i.GossipReceived(d.settings.gateway_number, a.payload))
         d.told = len(d.log)
 
 
@@ -310,10 +310,11 @@
     worst = max(map(sent.count, names))
     assert len(sent) == FLEET and (worst <= 8 if peers else worst == FLEET)
     for d in harnesses:  # no gateway takes what it has in hand itself for another's
-        own = sum(e.reading for e in d.router.health.engines.values())
+        own = sum(e.reading_tokens for e in d.router.health.engines.values())
         others = sum(d.router.load_gossip.load_of_others(READ, e) for e in names)
         assert not peers or own + others == pytest.approx(
-            sum(e.reading for x in harnesses for e in x.router.health.engines.values()), rel=0.1
+            sum(e.reading_tokens for x in harnesses for e in x.router.health.engines.values()),
+            rel=0.1,
         )
 
 
@@ -347,7 +348,7 @@
         health = d.router.health
         health.eject(health.engines["w2"], d.now)  # as for a pace out of the ordinary
     for d in harnesses[:3]:
-        d.do()
+        d.handle()
     together(harnesses, 100 * SECOND)
     for d in harnesses[3:]:
         assert not any(e.ejected_until for e in d.router.health.engines.values())
@@ -397,7 +398,7 @@
             *d.reply(n, "ok", SECOND, ended=True),
         ]
         tells += [a for a in actions if isinstance(a, i.SendGossip)]
-    tells += [a for a in d.do() if isinstance(a, i.SendGossip)]
+    tells += [a for a in d.handle() if isinstance(a, i.SendGossip)]
     if nodes > FLEET:
         collector = d.router.load_gossip.shards[0].lease.holder
         assert (
@@ -451,9 +452,9 @@
     assert any(isinstance(a, i.CancelAttempt) for a in actions) == called_off
     if not called_off:
         assert (
-            d.sent_at[1, 1] + d.out[1, 1].timeout > 105 * SECOND
+            d.sent_at[1, 1] + d.in_flight[1, 1].timeout > 105 * SECOND
         )  # its deadline, but for a margin
-        silent = d.router.health.engines[d.out[1, 1].engine]
+        silent = d.router.health.engines[d.in_flight[1, 1].engine]
         assert (
             silent.consecutive_failures or silent.ejections
         )  # others are told, and don't wait there, too
--- a/tests/fleet/test_zone_reachability.py
+++ b/tests/fleet/test_zone_reachability.py
@@ -138,6 +138,6 @@
     d = RouterHarness(
         engines=[entry(f"r{n}", zone="-") for n in range(1, 9)] + [entry("w1", zone="-")]
     )
-    d.do(EndpointListUpdate("changes", []))
+    d.handle(EndpointListUpdate("changes", []))
     first = sends(d.ask(1, session="s", left=30 * SECOND))[0].engine
     assert sends(d.reply(1, "connect_failed", took=250 * MS))[0].engine != first
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -975,7 +975,7 @@
     for n in range(4, 10):
         d.ask(n, session=f"s{n}")
         d.now += MS
-        d.do(i.RequestAbandoned(n))
+        d.handle(i.RequestAbandoned(n))
         d.reply(n, "cancelled", took=MS, ended=True)
     assert e.pace == pytest.approx(believed) and believed > 0
     d.ask(10, session="s10")
--- a/tests/recovery/test_warm_start.py
+++ b/tests/recovery/test_warm_start.py
@@ -36,7 +36,7 @@
     new = RouterHarness()
     new.now = old.now + SECOND
     today = [entry(n, started_at=new.now if n in restarted else 0) for n in READERS + WRITERS]
-    new.do(EndpointListUpdate("full", today))
+    new.handle(EndpointListUpdate("full", today))
     named = warm_start.restore(new.router, found, new.now)
     return old, new, named
 
@@ -72,7 +72,7 @@
     old, new, _ = taught()
     again = RouterHarness()
     again.now = new.now
-    again.do(EndpointListUpdate("full", [entry(n) for n in READERS + WRITERS]))
+    again.handle(EndpointListUpdate("full", [entry(n) for n in READERS + WRITERS]))
     again.serve(1, session="mine")
     own = {e.id: (e.pace, e.samples) for e in again.router.health.engines.values() if e.samples}
     lags = list(again.router.prediction_error_quantiles)
--- a/tests/routing/router_harness.py
+++ b/tests/routing/router_harness.py
@@ -114,23 +114,23 @@
         self.settings = settings(**over)
         self.router = Router(self.settings, seed)
         self.now = 100 * SECOND
-        self.out: dict[tuple[int, int], StartAttempt] = {}  # in flight, by request and number
+        self.in_flight: dict[tuple[int, int], StartAttempt] = {}  # in flight, by request and number
         self.sent_at: dict[tuple[int, int], int] = {}
-        self.count: dict[int, int] = {}  # attempts of each request
+        self.attempt_counts: dict[int, int] = {}  # attempts of each request
         self.timers: list[tuple[int, Timer]] = []
         self.log: list[tuple[int, Action]] = []
         names = READERS + WRITERS if engines is None else engines
         entries = [name if isinstance(name, EngineEndpoint) else entry(name) for name in names]
-        self.do(EndpointListUpdate(UpdateKind.SAVED, entries))
+        self.handle(EndpointListUpdate(UpdateKind.SAVED, entries))
 
-    def do(self, *events: Event) -> list[Action]:
+    def handle(self, *events: Event) -> list[Action]:
         """Hand events to the router, and keep account of its actions."""
         actions = self.router.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, StartAttempt):
-                number = self.count.get(action.request, 0)
-                self.count[action.request] = number + 1
-                self.out[action.request, number] = action
+                number = self.attempt_counts.get(action.request, 0)
+                self.attempt_counts[action.request] = number + 1
+                self.in_flight[action.request, number] = action
                 self.sent_at[action.request, number] = self.now
             elif isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.timer))
@@ -147,7 +147,7 @@
                 break
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            actions += self.do(TimerFired(due[1]))
+            actions += self.handle(TimerFired(due[1]))
         self.now = until
         return actions
 
@@ -155,7 +155,7 @@
         """Let a request arrive."""
         fields.setdefault("prompt_tokens", 1000)
         fields.setdefault("max_output_tokens", 200)
-        return self.do(RequestArrived(request, cls, left, **fields))
+        return self.handle(RequestArrived(request, cls, left, **fields))
 
     def reply(
         self,
@@ -167,16 +167,18 @@
         report: LoadReport | None = None,
     ) -> list[Action]:
         """End the oldest attempt of the request that is in flight."""
-        number = min(number for (of, number) in self.out if of == request)
-        sent = self.out.pop((request, number))
-        return self.do(
+        number = min(number for (of, number) in self.in_flight if of == request)
+        sent = self.in_flight.pop((request, number))
+        return self.handle(
             AttemptFinished(request, number, sent.engine, result, took, kept, ended, report)
         )
 
     def begin(self, request: int, took: int = 100 * MS) -> list[Action]:
         """Let the newest attempt of the request give its first token."""
-        number = max(number for (of, number) in self.out if of == request)
-        return self.do(StreamStarted(request, number, self.out[request, number].engine, took))
+        number = max(number for (of, number) in self.in_flight if of == request)
+        return self.handle(
+            StreamStarted(request, number, self.in_flight[request, number].engine, took)
+        )
 
     def serve(self, request: int, **fields) -> tuple[str, str]:
         """Serve a request without faults; returns its reader and writer."""
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -86,14 +86,14 @@
     admission, tokens_ahead, latency, verdict
 ):
     reader = admission.health.engines["r1"]
-    reader.reading = tokens_ahead
+    reader.reading_tokens = tokens_ahead
     admission.predictor.error_quantiles = [1.0, 1.5]
     assert admission.decide_read(new_request(1), reader, latency, NOW) is verdict
 
 
 def test_only_classes_that_value_late_answers_get_an_idle_reader_when_late(admission):
     idle, busy = admission.health.engines["r1"], Engine(entry("r3"), EngineRole.READER, MEMORY)
-    busy.reading = 100.0
+    busy.reading_tokens = 100.0
     lenient = RequestClass("class", 2 * SECOND, 6 * SECOND, late_weight=0.3)
     strict = RequestClass("class", 2 * SECOND, 6 * SECOND)
     assert admission.readers_for_late_request(lenient, [busy, idle], NOW) == [idle]
--- a/tests/routing/test_cold_ramp.py
+++ b/tests/routing/test_cold_ramp.py
@@ -42,7 +42,7 @@
             when, request, d = heapq.heappop(replies)[:3]
             d = desks[d]
             d.wait(max(0, when - d.now))
-            if any(r == request for r, _ in d.out):
+            if any(r == request for r, _ in d.in_flight):
                 for a in sends(d.reply(request, "read", took=READ)):
                     d.begin(a.request)
                     d.reply(a.request, "ok", SECOND, ended=True)
@@ -67,7 +67,7 @@
                         engines=[*warm, *WRITERS], seed=k, gateway_number=k, **rules
                     )
                 d.wait(max(0, now - d.now))
-                d.do(i.EndpointListUpdate("changes", [entry("r5", started_at=began)]))
+                d.handle(i.EndpointListUpdate("changes", [entry("r5", started_at=began)]))
         n += 1
         me = n * 7 % nodes
         d = desks[me]
--- a/tests/routing/test_defences.py
+++ b/tests/routing/test_defences.py
@@ -83,7 +83,7 @@
     d.router.health.eject(e, d.now)
     assert e not in d.router.health.candidates("read", d.now)
     d.now = e.ejected_until
-    d.do()  # a new batch: who may be chosen is settled once in each
+    d.handle()  # a new batch: who may be chosen is settled once in each
     assert e in d.router.health.candidates("read", d.now)
     while not e.pending:
         d.ask(d.now)
@@ -103,7 +103,7 @@
     total = 0
     for n in range(200):
         total += len(sends(d.ask(n)))
-        while any(r == n for r, _ in d.out):
+        while any(r == n for r, _ in d.in_flight):
             total += len(sends(d.reply(n, "error")))
     assert total < 200 * 1.4
 
@@ -157,7 +157,7 @@
             d.now += 200 * MS
         d.now += 2 * SECOND
         for _ in range(2):
-            if any(r == n for r, _ in d.out):
+            if any(r == n for r, _ in d.in_flight):
                 d.reply(n, "timeout", took=2 * SECOND)
     assert d.router.health.typical_pace("write") > 3 * before
 
@@ -171,9 +171,11 @@
     first = sends(d.ask(1, prompt_tokens=8000, left=30 * SECOND))[0].engine
     assert not checks(d.wait(500 * MS))  # foretold: 0.65 s
     assert [c.engine for c in checks(d.wait(400 * MS))] == [first]
-    once = d.do(ConnectionChecked(first, False))  # connections may come up late: it is asked again
+    once = d.handle(
+        ConnectionChecked(first, False)
+    )  # connections may come up late: it is asked again
     assert [c.engine for c in checks(once)] == [first] and CancelAttempt not in kinds(once)
-    twice = d.do(ConnectionChecked(first, False))
+    twice = d.handle(ConnectionChecked(first, False))
     assert CancelAttempt in kinds(twice) and not checks(twice)
     assert sends(d.reply(1, "cancelled"))[0].engine != first
 
@@ -182,7 +184,7 @@
     d = RouterHarness(may_check_connections=True)
     first = sends(d.ask(1, prompt_tokens=8000, left=30 * SECOND))[0].engine
     assert len(checks(d.wait(SECOND))) == 1
-    d.do(ConnectionChecked(first, True))
+    d.handle(ConnectionChecked(first, True))
     actions = d.wait(SECOND)
     assert not checks(actions) and CancelAttempt not in kinds(actions)
     assert CancelAttempt in kinds(d.wait(2 * SECOND))  # its patience still ends
@@ -194,7 +196,7 @@
     writer = sends(d.reply(1, "read"))[0].engine
     assert [c.engine for c in checks(d.wait(600 * MS))] == [writer]
     for _ in range(2):
-        assert CancelAttempt not in kinds(d.do(ConnectionChecked(writer, False)))
+        assert CancelAttempt not in kinds(d.handle(ConnectionChecked(writer, False)))
     assert not d.router.health.is_healthy(
         d.router.health.engines[writer], d.now
     )  # nobody else waits there
@@ -245,7 +247,7 @@
         d = RouterHarness()
         for e in d.router.health.engines.values():
             if e.role == "read" and not (idle and e.id == "r3"):
-                e.reading = 30_000.0 if e.id == "r1" else 90_000.0
+                e.reading_tokens = 30_000.0 if e.id == "r1" else 90_000.0
         arrival = RequestArrived(
             0, "ask", SECOND, prompt_tokens=40_000, prefix="p", prefix_tokens=21_000
         )
@@ -277,15 +279,15 @@
 def test_a_holder_that_would_be_late_yields_only_to_a_reader_that_would_not():
     d = RouterHarness(engines=["r1", "r3", "w1"])
     r1, r3 = (d.router.health.engines[name] for name in ("r1", "r3"))
-    r1.reading, r3.reading = 11_000.0, 9000.0  # neither over twice the mean
+    r1.reading_tokens, r3.reading_tokens = 11_000.0, 9000.0  # neither over twice the mean
     d.router.prefix_cache.record_read(
         RequestArrived(0, "ask", SECOND, 1000, prefix="p", prefix_tokens=520), "r1", d.now
     )
     assert sends(d.ask(1, prefix="p", prefix_tokens=520))[0].engine == "r1"
     d.router.prediction_error_quantiles = [1.0, 2.2]
-    r1.reading, r3.reading = 11_000.0, 8000.0
+    r1.reading_tokens, r3.reading_tokens = 11_000.0, 8000.0
     assert sends(d.ask(2, prefix="p", prefix_tokens=520))[0].engine == "r3"
-    r1.reading, r3.reading = 15_000.0, 14_000.0  # both late: held for its holder
+    r1.reading_tokens, r3.reading_tokens = 15_000.0, 14_000.0  # both late: held for its holder
     d.ask(3, prefix="p", prefix_tokens=520)
     assert (
         d.router.dispatcher.reader_selector.pick(d.router.table.queued[3], [r1, r3], d.now).engine
@@ -297,12 +299,12 @@
     d = RouterHarness(engines=["r1", "w1"])
     d.router.health.engines[
         "r1"
-    ].reading = 60_000.0  # 4.9 s at the pace assumed, with an aim of 2 s
+    ].reading_tokens = 60_000.0  # 4.9 s at the pace assumed, with an aim of 2 s
     assert RejectRequest in kinds(d.ask(1))
-    d.router.health.engines["r1"].reading = 15_000.0  # 1.3 s
+    d.router.health.engines["r1"].reading_tokens = 15_000.0  # 1.3 s
     d.router.prediction_error_quantiles = [1.0, 1.9]
     assert not {RejectRequest, *map(type, sends(d.ask(2)))} & set(kinds(d.ask(3)))
-    d.router.health.engines["r1"].reading = 100.0
+    d.router.health.engines["r1"].reading_tokens = 100.0
     assert [a.request for a in sends(d.wait(50 * MS))] == [2, 3]
 
 
@@ -312,7 +314,7 @@
     gaps = []
     for _ in range(5):
         start = d.now
-        d.do(EndpointListUpdate("failed"))
+        d.handle(EndpointListUpdate("failed"))
         while not any(isinstance(a, WatchEndpoints) for at, a in d.log if at > start):
             d.wait(50 * MS)
         gaps.append(d.now - start)
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -125,7 +125,7 @@
 def test_no_draining_or_ejected_engine_is_sampled(gone):
     d = RouterHarness(engines=names(1200))
     out = {f"{kind}{n}" for kind in "rw" for n in range(1, int(600 * gone))}
-    d.do(EndpointListUpdate("changes", [entry(n, "draining") for n in out]))
+    d.handle(EndpointListUpdate("changes", [entry(n, "draining") for n in out]))
     ejected = [e for e in d.router.health.engines.values() if e.id not in out][::4]
     for e in ejected:
         e.ejected_until = d.now + 10 * SECOND
--- a/tests/routing/test_mechanism.py
+++ b/tests/routing/test_mechanism.py
@@ -89,7 +89,7 @@
 def test_a_short_match_is_explored_by_load():
     d = RouterHarness()
     d.router.prefix_cache.record_read(_arrival(prefix="p", prefix_tokens=100), "r1", d.now)
-    d.router.health.engines["r1"].reading = 5000.0
+    d.router.health.engines["r1"].reading_tokens = 5000.0
     assert sends(d.ask(1, prefix="p", prefix_tokens=100))[0].engine != "r1"
 
 
@@ -97,10 +97,10 @@
     d = RouterHarness()
     d.router.prefix_cache.record_read(_arrival(prefix="p", prefix_tokens=900), "r1", d.now)
     for n in range(2, 5):
-        d.router.health.engines[f"r{n}"].reading = 4000.0
-    d.router.health.engines["r1"].reading = 4500.0
+        d.router.health.engines[f"r{n}"].reading_tokens = 4000.0
+    d.router.health.engines["r1"].reading_tokens = 4500.0
     assert sends(d.ask(1, prefix="p", prefix_tokens=900))[0].engine == "r1"
-    d.router.health.engines["r1"].reading = 40_000.0
+    d.router.health.engines["r1"].reading_tokens = 40_000.0
     assert sends(d.ask(2, prefix="p", prefix_tokens=900))[0].engine != "r1"
 
 
@@ -109,7 +109,7 @@
     d = RouterHarness()
     d.router.prefix_cache.record_read(_arrival(prefix="p", prefix_tokens=900), "r1", d.now)
     for n, (queued, kept_there) in enumerate(((800.0, True), (1200.0, False))):
-        d.router.health.engines["r1"].reading = queued
+        d.router.health.engines["r1"].reading_tokens = queued
         assert (sends(d.ask(n, prefix="p", prefix_tokens=900))[0].engine == "r1") is kept_there
 
 
@@ -129,7 +129,7 @@
         )
         for e in d.router.health.engines.values():
             if e.role == "read":
-                e.reading = (
+                e.reading_tokens = (
                     9000.0 if e.id == order[0] else 50.0 * (me + 1) if e.id == order[1] else 0.0
                 )
         used.add(sends(d.ask(1 + me, prefix="p", prefix_tokens=900, session=f"s{me}"))[0].engine)
@@ -142,7 +142,7 @@
     order = sorted(names, key=lambda e: -rank("p", e))
     d = RouterHarness(engines=[*names, "w1"], gateway_count=60, gossip_allowed=True)
     for e, queued in zip(order, (90_000.0, 30_000.0, 30_000.0, 17_500.0), strict=True):
-        d.router.health.engines[e].reading = queued
+        d.router.health.engines[e].reading_tokens = queued
     d.router.prediction_error_quantiles = [
         1.0,
         3.0,
@@ -203,7 +203,7 @@
     d = RouterHarness(
         engines=["r1", "w1", "w2"]
     )  # w1 shares the cell of r1, w2 lies in the other zone
-    d.do(
+    d.handle(
         EndpointListUpdate("changes", [entry("r2")])
     )  # so that each cell has a reader to its writer
     d.router.prefix_cache.record_read(_arrival(session="s"), "r1", d.now)
@@ -233,7 +233,7 @@
 def test_a_restarted_reader_has_lost_its_credits():
     d = RouterHarness()
     d.router.prefix_cache.record_read(_arrival(prefix="p", prefix_tokens=900), "r1", d.now)
-    d.do(EndpointListUpdate("changes", [entry("r1", started_at=d.now - 60 * SECOND)]))
+    d.handle(EndpointListUpdate("changes", [entry("r1", started_at=d.now - 60 * SECOND)]))
     assert d.router.prefix_cache.matches(_arrival(prefix="p", prefix_tokens=900), d.now) == {}
 
 
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -117,14 +117,14 @@
 def test_draining_and_removed_engines_get_nothing_new():
     for condition in ("draining", "gone"):
         d = RouterHarness(engines=["r1", "r3", "w1", "w3"])
-        d.do(EndpointListUpdate("changes", [entry("r1", condition), entry("w1", condition)]))
+        d.handle(EndpointListUpdate("changes", [entry("r1", condition), entry("w1", condition)]))
         for n in range(10):
             assert d.serve(n, prefix=f"p{n}", prefix_tokens=900) == ("r3", "w3")
 
 
 def test_an_engine_missing_from_a_full_list_gets_nothing_new():
     d = RouterHarness(engines=["r1", "r3", "w1", "w3"])
-    d.do(EndpointListUpdate("full", [entry("r3"), entry("w3")]))
+    d.handle(EndpointListUpdate("full", [entry("r3"), entry("w3")]))
     for n in range(10):
         assert d.serve(n) == ("r3", "w3")
 
@@ -132,7 +132,9 @@
 # Rule 4: cold engines
 def test_a_gateway_that_knows_no_capacity_goes_by_a_part_of_its_arrivals():
     d = RouterHarness(engines=[])
-    d.do(EndpointListUpdate("full", [entry("r1", started_at=d.now), entry("w1", started_at=d.now)]))
+    d.handle(
+        EndpointListUpdate("full", [entry("r1", started_at=d.now), entry("w1", started_at=d.now)])
+    )
     reads = []
     for n in range(90):  # ten a second for nine seconds; the engine is cold all the time
         reads += [
@@ -140,7 +142,7 @@
             for a in sends(d.ask(n)) + sends(d.wait(100 * MS))
             if a.engine == "r1"
         ]
-        if reads and (reads[-1][1], 0) in d.out:
+        if reads and (reads[-1][1], 0) in d.in_flight:
             d.reply(reads[-1][1], "read")
     assert 3 <= len(reads) <= 0.25 * 2.5 * 10 * 9
     assert max(sum(1 for t, _ in reads if 0 <= at - t < SECOND) for at, _ in reads) <= 3
@@ -150,7 +152,7 @@
     d = RouterHarness(engines=["r1", "r2", "r3", "w1", "w2", "w3"])
     for n in range(300):
         d.serve(n, session=f"s{n}")
-    d.do(EndpointListUpdate("changes", [entry("r1", started_at=d.now)]))
+    d.handle(EndpointListUpdate("changes", [entry("r1", started_at=d.now)]))
     readers = []
     for n in range(300, 400):
         readers.append(d.serve(n, session=f"s{n}")[0])
@@ -174,7 +176,7 @@
 def test_a_state_is_released_after_the_request_was_abandoned():
     d = RouterHarness()
     d.ask(1)
-    assert CancelAttempt in kinds(d.do(RequestAbandoned(1)))
+    assert CancelAttempt in kinds(d.handle(RequestAbandoned(1)))
     assert ReleaseState in kinds(d.reply(1, "read"))
 
 
@@ -193,7 +195,7 @@
         AttemptFinished(99, 3, "zz", "ok"),
         RequestAbandoned(77),
     ]
-    assert not {RejectRequest, FailRequest, ReleaseState} & set(kinds(d.do(*stray, *stray)))
+    assert not {RejectRequest, FailRequest, ReleaseState} & set(kinds(d.handle(*stray, *stray)))
 
 
 # The gate itself, whatever the choices before it let through
@@ -273,7 +275,7 @@
         actions, since = d.reply(1, first), d.now
     while not any(isinstance(a, ReleaseState) for a in actions):
         assert d.now - since <= 300 * MS + 251 * MS
-        if not [n for r, n in d.out if r == 1]:
+        if not [n for r, n in d.in_flight if r == 1]:
             actions = d.wait(10 * MS)
             continue
         actions = d.wait(dial * MS)
