--- a/tests/routing/router_harness.py
+++ b/tests/routing/router_harness.py
@@ -1,4 +1,4 @@
-"""A router with a small hand-made fleet and a clock of its own, for tests."""
+"""A router with a small fleet and a simulated clock, for tests."""
 
 from __future__ import annotations
 
@@ -27,16 +27,18 @@
     TimerFired,
     UpdateKind,
 )
+from claycross.routing.outlier_detection import OutlierDetector
+from claycross.routing.prefix_cache import PrefixCacheIndex
 from claycross.routing.router import Router
 
-MS = 1_000_000
+MS = 1_000_000  # ns
 SECOND = 1000 * MS
 READERS = ["r1", "r2", "r3", "r4"]
 WRITERS = ["w1", "w2", "w3", "w4"]
 
 
 def settings(**over) -> Settings:
-    """Settings of a gateway with one class of each effect; `over` replaces fields."""
+    """Settings of a gateway with a class of each effect; `over` replaces fields."""
     base = dict(
         classes={
             "ask": RequestClass(
@@ -89,18 +91,21 @@
 
 def entry(
     engine: str,
-    condition: str = EngineState.READY,
+    state: str = EngineState.READY,
     started_at: int = 0,
     zone: str = "",
     cell: int = -1,
 ) -> EngineEndpoint:
-    """An endpoint named like r1, w1 or m1, by its kind; odd numbers lie north in cell 0."""
+    """An endpoint whose kind follows from its name, such as r1, w1 or m1.
+
+    Engines with odd numbers are in zone north and cell 0, the others in zone south and cell 1.
+    """
     kind = {"r": "reader", "w": "writer", "m": "mixed"}[engine[0]]
     odd = int(engine[1:]) % 2
     return EngineEndpoint(
         engine,
         kind,
-        condition,
+        state,
         zone or ("north" if odd else "south"),
         cell if cell >= 0 else 1 - odd,
         started_at,
@@ -108,23 +113,33 @@
 
 
 class RouterHarness:
-    """A router driven by hand, with the attempts that it has in flight and a clock."""
+    """A router whose events a test makes one by one, with a clock and its attempts in flight."""
 
     def __init__(self, engines=None, seed: int = 1, **over):
         self.settings = settings(**over)
         self.router = Router(self.settings, seed)
         self.now = 100 * SECOND
-        self.in_flight: dict[tuple[int, int], StartAttempt] = {}  # in flight, by request and number
+        self.in_flight: dict[tuple[int, int], StartAttempt] = {}  # by request and attempt number
         self.sent_at: dict[tuple[int, int], int] = {}
-        self.attempt_counts: dict[int, int] = {}  # attempts of each request
-        self.timers: list[tuple[int, Timer]] = []
-        self.log: list[tuple[int, Action]] = []
+        self.attempt_counts: dict[int, int] = {}  # by request
+        self.timers: list[tuple[int, Timer]] = []  # due time and timer
+        self.log: list[tuple[int, Action]] = []  # time and action
         names = READERS + WRITERS if engines is None else engines
         entries = [name if isinstance(name, EngineEndpoint) else entry(name) for name in names]
         self.handle(EndpointListUpdate(UpdateKind.SAVED, entries))
 
+    @property
+    def health(self) -> OutlierDetector:
+        """The router's engines and what it knows of their health."""
+        return self.router.health
+
+    @property
+    def prefix_cache(self) -> PrefixCacheIndex:
+        """The router's index of cached prompts."""
+        return self.router.prefix_cache
+
     def handle(self, *events: Event) -> list[Action]:
-        """Hand events to the router, and keep account of its actions."""
+        """Pass events to the router and record its actions."""
         actions = self.router.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, StartAttempt):
@@ -137,9 +152,9 @@
         self.log += [(self.now, action) for action in actions]
         return actions
 
-    def wait(self, span: int) -> list[Action]:
-        """Let time pass, with the timers that come due."""
-        until = self.now + span
+    def wait(self, duration: int) -> list[Action]:
+        """Advance the clock, and fire the timers that become due."""
+        until = self.now + duration
         actions = []
         while True:
             due = min((timer for timer in self.timers if timer[0] <= until), default=None)
@@ -152,7 +167,7 @@
         return actions
 
     def ask(self, request: int, cls: str = "ask", left: int = 6 * SECOND, **fields) -> list[Action]:
-        """Let a request arrive."""
+        """Let a request arrive; `left` is the time until the client gives up."""
         fields.setdefault("prompt_tokens", 1000)
         fields.setdefault("max_output_tokens", 200)
         return self.handle(RequestArrived(request, cls, left, **fields))
@@ -163,25 +178,25 @@
         result: str,
         took: int = 50 * MS,
         ended: bool = False,
-        kept: int = 0,
+        cached_tokens: int = 0,
         report: LoadReport | None = None,
     ) -> list[Action]:
-        """End the oldest attempt of the request that is in flight."""
-        number = min(number for (of, number) in self.in_flight if of == request)
-        sent = self.in_flight.pop((request, number))
+        """End the request's oldest attempt in flight."""
+        number = min(attempt for owner, attempt in self.in_flight if owner == request)
+        engine = self.in_flight.pop((request, number)).engine
         return self.handle(
-            AttemptFinished(request, number, sent.engine, result, took, kept, ended, report)
+            AttemptFinished(request, number, engine, result, took, cached_tokens, ended, report)
         )
 
     def begin(self, request: int, took: int = 100 * MS) -> list[Action]:
-        """Let the newest attempt of the request give its first token."""
-        number = max(number for (of, number) in self.in_flight if of == request)
+        """Let the request's newest attempt in flight give its first token."""
+        number = max(attempt for owner, attempt in self.in_flight if owner == request)
         return self.handle(
             StreamStarted(request, number, self.in_flight[request, number].engine, took)
         )
 
     def serve(self, request: int, **fields) -> tuple[str, str]:
-        """Serve a request without faults; returns its reader and writer."""
+        """Serve a request without faults; returns the names of its reader and writer."""
         reader = sends(self.ask(request, **fields))[0].engine
         self.now += 50 * MS
         writer = sends(self.reply(request, "read"))[0].engine
@@ -192,12 +207,12 @@
 
 
 def sends(actions) -> list[StartAttempt]:
-    """The attempts that the actions start."""
+    """Return the actions that start attempts."""
     return [action for action in actions if isinstance(action, StartAttempt)]
 
 
 def kinds(actions) -> list[type]:
-    """The types of the actions other than timers."""
+    """Return the types of all actions but timers."""
     return [type(action) for action in actions if not isinstance(action, SetTimer)]
 
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control without a router: order, writer memory and early rejection."""
+"""Admission control: the order of queued requests, writer memory and early rejection."""
 
 import pytest
 
@@ -35,11 +35,9 @@
 
 
 def test_queued_requests_start_by_priority_then_by_age(admission):
-    ordinary, older, important = (
-        new_request(1),
-        new_request(2, arrived_at=NOW - SECOND),
-        new_request(3, weight=2.0),
-    )
+    ordinary = new_request(1)
+    older = new_request(2, arrived_at=NOW - SECOND)
+    important = new_request(3, weight=2.0)
     over_quota = new_request(4, weight=2.0, arrived_at=NOW - SECOND)
     over_quota.over_quota = True
     queued = [over_quota, ordinary, older, important]
@@ -61,34 +59,32 @@
     assert admission.free_writer_memory([writer], [], NOW) == 0.0
 
 
-def test_a_writer_on_trial_counts_only_if_there_is_no_other(admission):
-    proven = admission.health.engines["w1"]
-    proven.report = LoadReport(memory_share=0.5)
-    on_trial = Engine(entry("w2"), EngineRole.WRITER, MEMORY)
-    on_trial.ejections = 1
-    share = MAX_WRITER_MEMORY_SHARE - 0.5
-    assert admission.free_writer_memory([proven, on_trial], [], NOW) == pytest.approx(
-        share * MEMORY
-    )
-    assert admission.free_writer_memory([on_trial], [], NOW) == MAX_WRITER_MEMORY_SHARE * MEMORY
+def test_a_half_open_writer_counts_only_if_there_is_no_other(admission):
+    trusted = admission.health.engines["w1"]
+    trusted.report = LoadReport(memory_share=0.5)
+    half_open = Engine(entry("w2"), EngineRole.WRITER, MEMORY)
+    half_open.ejections = 1
+    free = (MAX_WRITER_MEMORY_SHARE - 0.5) * MEMORY
+    assert admission.free_writer_memory([trusted, half_open], [], NOW) == pytest.approx(free)
+    assert admission.free_writer_memory([half_open], [], NOW) == MAX_WRITER_MEMORY_SHARE * MEMORY
 
 
 @pytest.mark.parametrize(
-    ("tokens_ahead", "latency", "verdict"),
+    ("tokens_ahead", "latency", "decision"),
     [
-        (0.0, 60 * SECOND, ReadDecision.START),  # an idle reader always takes one
+        (0.0, 60 * SECOND, ReadDecision.START),  # an idle reader takes any read
         (100.0, SECOND, ReadDecision.START),
-        (100.0, 1.5 * SECOND, ReadDecision.WAIT),  # late only if predictions err as they may
+        (100.0, 1.5 * SECOND, ReadDecision.WAIT),  # late only at the safe quantile
         (100.0, 3 * SECOND, ReadDecision.SHED),
     ],
 )
 def test_a_read_starts_waits_or_is_shed_by_its_predicted_latency(
-    admission, tokens_ahead, latency, verdict
+    admission, tokens_ahead, latency, decision
 ):
     reader = admission.health.engines["r1"]
     reader.reading_tokens = tokens_ahead
     admission.predictor.error_quantiles = [1.0, 1.5]
-    assert admission.decide_read(new_request(1), reader, latency, NOW) is verdict
+    assert admission.decide_read(new_request(1), reader, latency, NOW) is decision
 
 
 def test_only_classes_that_value_late_answers_get_an_idle_reader_when_late(admission):
--- a/tests/routing/test_attempt_supervision.py
+++ b/tests/routing/test_attempt_supervision.py
@@ -1,4 +1,4 @@
-"""Timeouts and connection checks of attempts, without a router."""
+"""Timeouts and connection checks of attempts."""
 
 import pytest
 
@@ -27,8 +27,8 @@
 RESPONSE_TIMEOUT = SECOND
 
 
-class Supervised:
-    """One attempt in flight at one engine."""
+class SupervisedAttempt:
+    """An attempt in flight at an engine, with its supervisor."""
 
     def __init__(self, effect: Effect = Effect.IDEMPOTENT, is_read: bool = True, **over):
         self.settings = settings(**over)
@@ -62,29 +62,29 @@
 
 
 def test_an_attempt_at_an_unresponsive_engine_is_cancelled_once():
-    supervised = Supervised()
+    supervised = SupervisedAttempt()
     assert supervised.check(RESPONSE_TIMEOUT) == []
     assert supervised.check(RESPONSE_TIMEOUT + 1) == [CancelAttempt(1, 0)]
     assert supervised.check(RESPONSE_TIMEOUT + 2) == []
 
 
-def test_a_sign_of_life_keeps_the_attempt():
-    supervised = Supervised()
+def test_an_attempt_at_a_responsive_engine_is_not_cancelled():
+    supervised = SupervisedAttempt()
     supervised.engine.last_response = NOW
     assert supervised.check(3 * RESPONSE_TIMEOUT) == []
 
 
-def test_a_write_that_must_not_run_twice_is_waited_for_but_its_engine_is_judged():
-    supervised = Supervised(Effect.NOT_IDEMPOTENT, is_read=False)
+def test_a_write_that_must_not_run_twice_is_waited_for_but_its_engine_is_ejected():
+    supervised = SupervisedAttempt(Effect.NOT_IDEMPOTENT, is_read=False)
     assert supervised.check(RESPONSE_TIMEOUT + 1) == []
     assert supervised.attempt.reported_unresponsive
-    assert supervised.engine.ejections == 1  # it was never seen before
+    assert supervised.engine.ejections == 1  # the first failure of an engine that never responded
     assert supervised.check(RESPONSE_TIMEOUT + 2) == []
     assert supervised.engine.ejections == 1
 
 
 def test_an_overdue_attempts_engine_is_checked_once_by_a_connection():
-    supervised = Supervised(may_check_connections=True)
+    supervised = SupervisedAttempt(may_check_connections=True)
     due = PREDICTED + CONNECTION_CHECK_DELAY_NS
     assert supervised.check(due - 1) == []
     assert supervised.check(due) == [CheckConnection("r1")]
@@ -92,7 +92,7 @@
 
 
 def test_failed_checks_end_the_wait():
-    supervised = Supervised(may_check_connections=True)
+    supervised = SupervisedAttempt(may_check_connections=True)
     for _ in range(MAX_FAILED_CHECKS):
         assert supervised.attempt.response_timeout == RESPONSE_TIMEOUT
         supervised.supervisor.connection_checked(ConnectionChecked("r1", reachable=False))
@@ -101,7 +101,7 @@
 
 
 def test_passed_checks_and_those_of_unknown_engines_change_nothing():
-    supervised = Supervised(may_check_connections=True)
+    supervised = SupervisedAttempt(may_check_connections=True)
     supervised.supervisor.connection_checked(ConnectionChecked("r1", reachable=True))
     supervised.supervisor.connection_checked(ConnectionChecked("r9", reachable=False))
     assert supervised.attempt.failed_connection_checks == 0
@@ -119,10 +119,10 @@
 def test_the_timeout_follows_from_what_a_cancellation_would_cost(
     effect, is_read, may_cancel, expected
 ):
-    assert Supervised(effect, is_read, may_cancel=may_cancel).timeout() == expected
+    assert SupervisedAttempt(effect, is_read, may_cancel=may_cancel).timeout() == expected
 
 
 def test_no_timeout_lies_beyond_the_deadline():
-    supervised = Supervised()
+    supervised = SupervisedAttempt()
     supervised.request.deadline = NOW + 10 * MS
     assert supervised.timeout() == 10 * MS
--- a/tests/routing/test_endpoint_table.py
+++ b/tests/routing/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, applied without a router."""
+"""Updates of the endpoint list."""
 
 import pytest
 
@@ -26,13 +26,13 @@
     return set(table.health.engines)
 
 
-def test_changes_leave_other_engines_in_place(table):
+def test_changes_do_not_remove_other_engines(table):
     table.update(EndpointListUpdate(UpdateKind.CHANGES, [entry("r3")]))
     assert known(table) == {"r1", "r2", "r3", "w1"}
 
 
 @pytest.mark.parametrize("kind", [UpdateKind.FULL, UpdateKind.SAVED])
-def test_a_full_list_removes_what_it_does_not_hold(table, kind):
+def test_a_full_list_removes_engines_that_it_does_not_list(table, kind):
     removed = table.health.engines["r1"]
     table.update(EndpointListUpdate(kind, [entry("r2"), entry("w1")]))
     assert known(table) == {"r2", "w1"}
@@ -44,10 +44,10 @@
     table.update(EndpointListUpdate(UpdateKind.CHANGES, [entry("r1", EngineState.DRAINING)]))
     assert known(table) == {"r1", "r2", "w1"}
     assert [engine.id for engine in table.health.pool.ready("read")] == ["r2"]
-    assert table.prefix_cache.sessions  # it may come back with its cache
+    assert table.prefix_cache.sessions  # the engine may return with its cache
 
 
-def test_nothing_that_was_learned_of_an_earlier_process_is_kept(table):
+def test_measurements_of_an_earlier_process_are_discarded(table):
     engine = table.health.engines["r1"]
     engine.samples = engine.consecutive_failures = 5
     table.update(EndpointListUpdate(UpdateKind.CHANGES, [entry("r1", started_at=NOW)]))
--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -32,9 +32,9 @@
     ):
         before = getattr(owner, name)
 
-        def counted(self, e, *args, before=before):
+        def counted(self, engine, *args, before=before):
             looks.append(1)
-            return before(self, e, *args)
+            return before(self, engine, *args)
 
         monkeypatch.setattr(owner, name, counted)
 
@@ -44,13 +44,15 @@
 
     monkeypatch.setattr(candidate_sampling, "rank", ranked)
     monkeypatch.setattr(slow_start, "rank", ranked)
-    d = RouterHarness(engines=names(size), gateway_count=50, gossip_allowed=True, max_attempts=5)
+    harness = RouterHarness(
+        engines=names(size), gateway_count=50, gossip_allowed=True, max_attempts=5
+    )
     for n in range(5):  # the orders of the prefixes are made
-        d.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
+        harness.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
     looks.clear()
     for n in range(5, 45):
-        d.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
-        d.wait(30 * MS)
+        harness.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
+        harness.wait(30 * MS)
     monkeypatch.undo()
     return len(looks)
 
@@ -84,9 +86,10 @@
                 there[n] = Plain(f"e{n}")
         index.rebuild(there.values())
         for key in uses[turn : turn + 1]:
-            found = [e.id for e in orders.first(key)]
+            found = [engine.id for engine in orders.first(key)]
             walked = sorted(
-                (e.id for e in there.values()), key=lambda engine: -rendezvous.rank(key, engine)
+                (engine.id for engine in there.values()),
+                key=lambda engine: -rendezvous.rank(key, engine),
             )
             assert found == walked[: len(found)]
             assert len(found) >= min(len(there), 6) and len(found) <= MAX_ORDER_LENGTH
@@ -95,7 +98,7 @@
 @given(st.integers(1, 400), st.integers(1, 130), st.text(max_size=4))
 def test_a_spread_names_none_twice(size, most, salt):
     engines = [Plain(f"e{n}") for n in range(size)]
-    found = [e.id for e in sample_evenly(engines, salt, most)]
+    found = [engine.id for engine in sample_evenly(engines, salt, most)]
     assert len(found) == len(set(found)) == min(size, most)
 
 
@@ -103,8 +106,8 @@
     """Over many salts each engine is drawn about as often as any other."""
     engines, drawn = [Plain(f"e{n}") for n in range(1600)], {}
     for salt in range(2000):
-        for e in sample_evenly(engines, str(salt), 48):
-            drawn[e.id] = drawn.get(e.id, 0) + 1
+        for engine in sample_evenly(engines, str(salt), 48):
+            drawn[engine.id] = drawn.get(engine.id, 0) + 1
     assert len(drawn) == 1600 and max(drawn.values()) < 2 * 60 and min(drawn.values()) > 60 / 2
 
 
@@ -115,7 +118,7 @@
     )
     for n in range(20):
         fields = {"session": f"s{n}", "prefix": f"p{n}", "prefix_tokens": 900}
-        here, there = (sends(d.ask(n, **fields))[0].engine for d in (first, second))
+        here, there = (sends(harness.ask(n, **fields))[0].engine for harness in (first, second))
         assert here == there  # both gateways hash the prefix to one home
         first.reply(n, "read")
         assert sends(first.ask(n + 100, **fields))[0].engine == here
@@ -123,19 +126,23 @@
 
 @pytest.mark.parametrize("gone", [0.0, 0.5])
 def test_no_draining_or_ejected_engine_is_sampled(gone):
-    d = RouterHarness(engines=names(1200))
+    harness = RouterHarness(engines=names(1200))
     out = {f"{kind}{n}" for kind in "rw" for n in range(1, int(600 * gone))}
-    d.handle(EndpointListUpdate("changes", [entry(n, "draining") for n in out]))
-    ejected = [e for e in d.router.health.engines.values() if e.id not in out][::4]
-    for e in ejected:
-        e.ejected_until = d.now + 10 * SECOND
+    harness.handle(EndpointListUpdate("changes", [entry(n, "draining") for n in out]))
+    ejected = [engine for engine in harness.health.engines.values() if engine.id not in out][::4]
+    for engine in ejected:
+        engine.ejected_until = harness.now + 10 * SECOND
     for n in range(60):
-        found = sends(d.ask(n, session=f"s{n}"))
-        assert found and not {a.engine for a in found} & (out | {e.id for e in ejected})
+        found = sends(harness.ask(n, session=f"s{n}"))
+        assert found and not {action.engine for action in found} & (
+            out | {engine.id for engine in ejected}
+        )
 
 
 def test_a_judgement_against_most_of_thousands_is_not_believed():
-    d = RouterHarness(engines=names(1200))
-    for e in d.router.health.engines.values():
-        e.ejected_until = d.now + 10 * SECOND
-    assert sends(d.ask(1)) and not [a for _, a in d.log if isinstance(a, RejectRequest)]
+    harness = RouterHarness(engines=names(1200))
+    for engine in harness.health.engines.values():
+        engine.ejected_until = harness.now + 10 * SECOND
+    assert sends(harness.ask(1)) and not [
+        action for _, action in harness.log if isinstance(action, RejectRequest)
+    ]
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -1,4 +1,4 @@
-"""Engines that this gateway can reach are preferred, but never to the point of having none."""
+"""Engines that this gateway can reach are preferred, and others used if there are none."""
 
 from claycross.interface import AttemptResult, EngineRole
 from claycross.routing.engine import Attempt, Engine
@@ -15,10 +15,10 @@
     return made
 
 
-def attempt(at: Engine, result: AttemptResult) -> Attempt:
+def attempt(engine: Engine, result: AttemptResult) -> Attempt:
     return Attempt(
         number=0,
-        engine=at,
+        engine=engine,
         is_read=True,
         in_place=False,
         sent_at=NOW,
@@ -53,9 +53,9 @@
     assert reachability.prefer_reachable(request, [connected, other], later) == [connected, other]
 
 
-def test_a_request_that_was_not_sent_keeps_to_open_connections():
+def test_a_request_that_was_not_sent_is_retried_on_an_open_connection():
     connected, other = engine("r1", last_response=NOW - SECOND), engine("r3")
     request = new_request()
     request.attempts.append(attempt(other, AttemptResult.CONNECT_FAILED))
-    found = Reachability(IDLE_TIMEOUT).prefer_reachable(request, [connected, other], NOW)
-    assert found == [connected]
+    preferred = Reachability(IDLE_TIMEOUT).prefer_reachable(request, [connected, other], NOW)
+    assert preferred == [connected]
--- a/tests/routing/test_request_state.py
+++ b/tests/routing/test_request_state.py
@@ -1,4 +1,4 @@
-"""What the router derives from an accepted request."""
+"""The state of an accepted request, and the table of open requests."""
 
 import pytest
 
@@ -32,8 +32,8 @@
     ("hint", "limit", "expected"),
     [
         (0, 200, 100),  # half of the limit
-        (5 * SECOND, 0, 100),  # by the hint, at the interval between tokens
-        (5 * SECOND, 60, 60),  # but no more than the limit
+        (5 * SECOND, 0, 100),  # the hint at one token each 50 ms
+        (5 * SECOND, 60, 60),  # the hint exceeds the limit
     ],
 )
 def test_a_writer_needs_memory_for_the_prompt_and_the_expected_answer(hint, limit, expected):
@@ -41,7 +41,7 @@
     assert request.writer_memory == 1000 + expected
 
 
-def test_a_request_waits_in_one_place_at_a_time():
+def test_a_request_waits_in_one_queue_at_a_time():
     table = RequestTable()
     request = new_request()
     table.add(request)
@@ -53,7 +53,7 @@
     assert not table.has_waiting() and table.requests == {1: request}
 
 
-def test_requests_whose_results_never_come_are_forgotten():
+def test_requests_whose_results_never_come_are_dropped():
     table = RequestTable()
     early, late = new_request(number=1), new_request(time_left=60 * SECOND, number=2)
     table.add(early)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget limits retries to a share of the requests."""
+"""The retry budget, which limits retries to a share of the requests."""
 
 from claycross.routing.retry_budget import MAX_SAVED_RETRIES, RETRIES_PER_REQUEST, RetryBudget
 
--- a/tests/routing/test_retry_rules.py
+++ b/tests/routing/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""The preconditions of retries and rejections, applied to the router's own state."""
+"""The preconditions of retries and rejections, applied to the state of the router."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def request_with(effect: Effect, *results: AttemptResult) -> Request:
-    """A request with a write at the northern writer for each result."""
+    """A request with one write at the writer NORTH for each result."""
     request_class = RequestClass(
         "class",
         2 * SECOND,
@@ -35,9 +35,9 @@
     )
     request = Request(RequestArrived(1, "class", 6 * SECOND), request_class, NOW, 0)
     for result in results:
-        made = attempt(writer(NORTH), result)
-        made.is_read = False
-        request.attempts.append(made)
+        write = attempt(writer(NORTH), result)
+        write.is_read = False
+        request.attempts.append(write)
     return request
 
 
@@ -63,7 +63,7 @@
     assert allowed == [NORTH] * north + [SOUTH] * south
 
 
-def test_a_key_that_engines_have_forgotten_allows_no_retry():
+def test_an_expired_idempotency_key_allows_no_retry():
     request = request_with(Effect.WITH_IDEMPOTENCY_KEY, AttemptResult.RESET)
     assert not may_send(request, writer(NORTH), NOW + 3 * SECOND, MS)
 
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Budgets of engines that have just started."""
+"""Slow start: capacity and budgets of engines that have just started."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def pool_with(*names: str, warming_up: str = "") -> EnginePool:
-    """A pool of writers, of which one started a second ago."""
+    """A pool of writers; `warming_up` names one that started a second ago."""
     pool = EnginePool()
     for name in names:
         started_at = NOW - SECOND if name == warming_up else 0
@@ -22,7 +22,7 @@
     return pool
 
 
-def test_a_warm_engine_has_its_whole_capacity_and_no_budget():
+def test_a_warm_engine_has_its_full_capacity_and_an_unlimited_budget():
     pool = pool_with("w1")
     slow_start = SlowStart(settings(), pool)
     assert slow_start.capacity_share(pool.engines["w1"]) == 1.0
@@ -48,14 +48,14 @@
     assert slow_start.budget(warm, NOW) == float("inf")
 
 
-def test_what_a_warming_engine_serves_does_not_count_as_usual():
+def test_attempts_served_by_a_warming_engine_do_not_count_towards_the_rate():
     pool = pool_with("w1", warming_up="w1")
     slow_start = SlowStart(settings(), pool)
     slow_start.record_served(pool.engines["w1"], NOW)
     assert slow_start.rates.rate(EngineRole.WRITER, NOW) == 0.0
 
 
-def test_rates_decay_by_half_in_their_half_life():
+def test_rates_are_halved_in_their_half_life():
     rates = RateEstimator()
     for _ in range(8):
         rates.count("key", NOW)
--- a/tests/routing/test_tenant_quota.py
+++ b/tests/routing/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: token buckets of this gateway's part of a tenant's rate."""
+"""Tenant quotas: token buckets with this gateway's share of a tenant's rate."""
 
 from claycross.interface import TenantQuota
 from claycross.routing.tenant_quota import MIN_QUOTA_BURST_REQUESTS, TenantQuotas
@@ -19,14 +19,14 @@
     assert not any(unlimited.over_quota("tenant", NOW) for _ in range(100))
 
 
-def test_a_burst_and_then_the_gateways_part_of_the_rate_is_within_the_quota():
+def test_a_burst_and_then_the_gateways_share_of_the_rate_is_within_the_quota():
     limited = quotas(rate=8.0, gateways=2)
     at_once = sum(not limited.over_quota("tenant", NOW) for _ in range(100))
-    assert at_once == 8  # two seconds of four requests
+    assert at_once == 8  # a burst of two seconds at four requests a second
     later = sum(not limited.over_quota("tenant", NOW + SECOND) for _ in range(100))
     assert later == 4
 
 
-def test_a_small_part_of_a_quota_still_allows_a_small_burst():
+def test_a_small_share_of_a_quota_still_allows_a_small_burst():
     limited = quotas(rate=1.0, gateways=100)
     assert sum(not limited.over_quota("tenant", NOW) for _ in range(9)) == MIN_QUOTA_BURST_REQUESTS
