--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -1,4 +1,6 @@
-"""A decision among thousands of engines costs what it costs among a few hundred, and is as good."""
+"""Large fleets: the cost of decisions, candidate sampling and the cache of rendezvous orders."""
+
+from collections import Counter
 
 import pytest
 from hypothesis import given, settings
@@ -17,53 +19,55 @@
 from tests.routing.router_harness import MS, SECOND, RouterHarness, entry, sends
 
 
-def names(size):
+def engine_names(size: int) -> list[str]:
+    """Names of a fleet, half of it readers and half writers."""
     return [f"{kind}{n}" for kind in "rw" for n in range(1, size // 2 + 1)]
 
 
-def work(monkeypatch, size):
-    """Looks at single engines that a few dozen requests cost, in a fleet of this size."""
-    looks = []
+def count_engine_checks(monkeypatch, size: int) -> int:
+    """Count the checks of single engines for a few dozen requests in a fleet of this size."""
+    checks = []
     for owner, name in (
         (OutlierDetector, "is_healthy"),
         (OutlierDetector, "slowness"),
         (SlowStart, "budget"),
         (SlowStart, "is_warming_up"),
     ):
-        before = getattr(owner, name)
+        original = getattr(owner, name)
 
-        def counted(self, engine, *args, before=before):
-            looks.append(1)
-            return before(self, engine, *args)
+        def counted(self, engine, *args, original=original):
+            checks.append(1)
+            return original(self, engine, *args)
 
         monkeypatch.setattr(owner, name, counted)
 
-    def ranked(key, engine):
-        looks.append(1)
+    def counted_rank(key, engine):
+        checks.append(1)
         return rendezvous.rank(key, engine)
 
-    monkeypatch.setattr(candidate_sampling, "rank", ranked)
-    monkeypatch.setattr(slow_start, "rank", ranked)
+    monkeypatch.setattr(candidate_sampling, "rank", counted_rank)
+    monkeypatch.setattr(slow_start, "rank", counted_rank)
     harness = RouterHarness(
-        engines=names(size), gateway_count=50, gossip_allowed=True, max_attempts=5
+        engines=engine_names(size), gateway_count=50, gossip_allowed=True, max_attempts=5
     )
-    for n in range(5):  # the orders of the prefixes are made
+    for n in range(5):  # fills the cache of rendezvous orders
         harness.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
-    looks.clear()
+    checks.clear()
     for n in range(5, 45):
         harness.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
         harness.wait(30 * MS)
     monkeypatch.undo()
-    return len(looks)
+    return len(checks)
 
 
 def test_a_decision_costs_no_more_among_3200_engines_than_among_200(monkeypatch):
-    few, many = work(monkeypatch, 200), work(monkeypatch, 3200)
-    assert many <= 1.5 * few, (few, many)
+    small = count_engine_checks(monkeypatch, 200)
+    large = count_engine_checks(monkeypatch, 3200)
+    assert large <= 1.5 * small, (small, large)
 
 
-class Plain:
-    """An engine as the index sees it."""
+class IndexedReader:
+    """A reader with only the attributes that the index uses."""
 
     def __init__(self, name, zone="a", cell=0):
         self.id, self.role = name, "read"
@@ -73,76 +77,83 @@
 CHANGES = st.lists(st.lists(st.integers(0, 60), max_size=12), max_size=90)
 
 
+@pytest.mark.parametrize("in_full", [True, False], ids=["rebuilt", "updated"])
 @settings(max_examples=60)
-@given(CHANGES, st.lists(st.sampled_from("kmx"), max_size=90))
-def test_the_order_of_a_key_is_that_of_a_walk_over_all(changes, uses):
-    """Whatever came and went since it was used last, it begins as a full recount does."""
+@given(changes=CHANGES, used_keys=st.lists(st.sampled_from("kmx"), max_size=90))
+def test_a_cached_order_begins_like_the_order_of_all_engines(in_full, changes, used_keys):
+    """Whichever engines were added and removed since the order was last used."""
     index = EngineIndex()
-    orders, there = RendezvousOrders(index, "read"), {n: Plain(f"e{n}") for n in range(40)}
-    index.rebuild(there.values())
-    for turn, these in enumerate(changes):
-        for n in these:
-            if there.pop(n, None) is None:
-                there[n] = Plain(f"e{n}")
-        index.rebuild(there.values())
-        for key in uses[turn : turn + 1]:
-            found = [engine.id for engine in orders.first(key)]
-            walked = sorted(
-                (engine.id for engine in there.values()),
-                key=lambda engine: -rendezvous.rank(key, engine),
-            )
-            assert found == walked[: len(found)]
-            assert len(found) >= min(len(there), 6) and len(found) <= MAX_ORDER_LENGTH
+    orders = RendezvousOrders(index, "read")
+    readers = {n: IndexedReader(f"e{n}") for n in range(40)}
+    index.rebuild(readers.values())
+    for step, changed in enumerate(changes):
+        for n in changed:
+            reader = readers.pop(n, None)
+            if reader is None:
+                reader = readers[n] = IndexedReader(f"e{n}")
+            else:
+                reader.entry.state = "gone"
+            if not in_full:
+                index.update([reader])
+        if in_full:
+            index.rebuild(readers.values())
+        for key in used_keys[step : step + 1]:
+            found = [reader.id for reader in orders.first(key)]
+            names = [reader.id for reader in readers.values()]
+            expected = sorted(names, key=lambda name: -rendezvous.rank(key, name))
+            assert found == expected[: len(found)]
+            assert min(len(readers), 6) <= len(found) <= MAX_ORDER_LENGTH
 
 
 @given(st.integers(1, 400), st.integers(1, 130), st.text(max_size=4))
-def test_a_spread_names_none_twice(size, most, salt):
-    engines = [Plain(f"e{n}") for n in range(size)]
-    found = [engine.id for engine in sample_evenly(engines, salt, most)]
-    assert len(found) == len(set(found)) == min(size, most)
+def test_a_sample_has_no_duplicates(size, limit, salt):
+    readers = [IndexedReader(f"e{n}") for n in range(size)]
+    sample = [reader.id for reader in sample_evenly(readers, salt, limit)]
+    assert len(sample) == len(set(sample)) == min(size, limit)
 
 
-def test_a_spread_is_even():
-    """Over many salts each engine is drawn about as often as any other."""
-    engines, drawn = [Plain(f"e{n}") for n in range(1600)], {}
+def test_samples_are_even():
+    """Over many salts, each engine is drawn about as often as any other."""
+    readers = [IndexedReader(f"e{n}") for n in range(1600)]
+    draws = Counter()
     for salt in range(2000):
-        for engine in sample_evenly(engines, str(salt), 48):
-            drawn[engine.id] = drawn.get(engine.id, 0) + 1
-    assert len(drawn) == 1600 and max(drawn.values()) < 2 * 60 and min(drawn.values()) > 60 / 2
+        draws.update(reader.id for reader in sample_evenly(readers, str(salt), 48))
+    assert len(draws) == 1600
+    assert max(draws.values()) < 2 * 60 and min(draws.values()) > 60 / 2
 
 
 def test_a_session_keeps_its_reader_and_a_prefix_its_home_among_thousands():
     first, second = (
-        RouterHarness(engines=names(1200), seed=n, gateway_count=2, gateway_number=n)
+        RouterHarness(engines=engine_names(1200), seed=n, gateway_count=2, gateway_number=n)
         for n in range(2)
     )
     for n in range(20):
         fields = {"session": f"s{n}", "prefix": f"p{n}", "prefix_tokens": 900}
-        here, there = (sends(harness.ask(n, **fields))[0].engine for harness in (first, second))
-        assert here == there  # both gateways hash the prefix to one home
+        home = sends(first.ask(n, **fields))[0].engine
+        assert sends(second.ask(n, **fields))[0].engine == home
         first.reply(n, "read")
-        assert sends(first.ask(n + 100, **fields))[0].engine == here
+        assert sends(first.ask(n + 100, **fields))[0].engine == home
 
 
-@pytest.mark.parametrize("gone", [0.0, 0.5])
-def test_no_draining_or_ejected_engine_is_sampled(gone):
-    harness = RouterHarness(engines=names(1200))
-    out = {f"{kind}{n}" for kind in "rw" for n in range(1, int(600 * gone))}
-    harness.handle(EndpointListUpdate("changes", [entry(n, "draining") for n in out]))
-    ejected = [engine for engine in harness.health.engines.values() if engine.id not in out][::4]
+@pytest.mark.parametrize("draining_share", [0.0, 0.5])
+def test_no_draining_or_ejected_engine_is_sampled(draining_share):
+    harness = RouterHarness(engines=engine_names(1200))
+    draining = {f"{kind}{n}" for kind in "rw" for n in range(1, int(600 * draining_share))}
+    changes = [entry(name, "draining") for name in draining]
+    harness.handle(EndpointListUpdate("changes", changes))
+    ready = [engine for engine in harness.health.engines.values() if engine.id not in draining]
+    ejected = ready[::4]
     for engine in ejected:
         engine.ejected_until = harness.now + 10 * SECOND
+    excluded = draining | {engine.id for engine in ejected}
     for n in range(60):
-        found = sends(harness.ask(n, session=f"s{n}"))
-        assert found and not {action.engine for action in found} & (
-            out | {engine.id for engine in ejected}
-        )
+        started = sends(harness.ask(n, session=f"s{n}"))
+        assert started and not {action.engine for action in started} & excluded
 
 
-def test_a_judgement_against_most_of_thousands_is_not_believed():
-    harness = RouterHarness(engines=names(1200))
+def test_ejections_are_ignored_while_most_of_thousands_of_engines_are_ejected():
+    harness = RouterHarness(engines=engine_names(1200))
     for engine in harness.health.engines.values():
         engine.ejected_until = harness.now + 10 * SECOND
-    assert sends(harness.ask(1)) and not [
-        action for _, action in harness.log if isinstance(action, RejectRequest)
-    ]
+    assert sends(harness.ask(1))
+    assert not any(isinstance(action, RejectRequest) for _, action in harness.log)
