--- a/claycross/routing/attempt_start.py
+++ b/claycross/routing/attempt_start.py
@@ -99,9 +99,9 @@
         )
 
     def _not_after(self, request: Request) -> int:
-        """Return the time until which engines drop duplicates of an earlier attempt.
+        """Return the time until which the engines surely drop duplicates of an earlier attempt.
 
-        It is 0 if the request needs no idempotency key or no earlier attempt may have run.
+        It is 0 if the request has no idempotency key or no earlier attempt may have run.
         """
         if request.request_class.effect != Effect.WITH_IDEMPOTENCY_KEY:
             return 0
@@ -120,8 +120,7 @@
         engine.recent_sends.append((now, 1.0))
         if self.gossips:
             self._gossip_work(request, attempt)
-        # The attempt may use up the engine's slow start budget or, after an ejection, its only
-        # place for a request.
+        # The attempt may use up the engine's slow start budget; a half-open engine gets only one.
         self.health.pool.invalidate("candidates", engine.role)
         if attempt.is_read:
             attempt.tokens_ahead = self.loads.tokens_ahead(engine, now)
--- a/claycross/routing/candidate_sampling.py
+++ b/claycross/routing/candidate_sampling.py
@@ -264,11 +264,11 @@
     groups: Iterable[Iterable[EngineT]], accept: Callable[[EngineT], bool], limit: int
 ) -> list[EngineT]:
     """Return up to `limit` distinct accepted engines, taking one group after the other."""
-    found: dict[str, EngineT] = {}
+    accepted: dict[str, EngineT] = {}
     for group in groups:
         for engine in group:
-            if len(found) >= limit:
-                return list(found.values())
-            if engine.id not in found and accept(engine):
-                found[engine.id] = engine
-    return list(found.values())
+            if len(accepted) >= limit:
+                return list(accepted.values())
+            if engine.id not in accepted and accept(engine):
+                accepted[engine.id] = engine
+    return list(accepted.values())
--- a/claycross/routing/dispatch.py
+++ b/claycross/routing/dispatch.py
@@ -26,7 +26,7 @@
 MAX_IN_PLACE_TOKENS = 512
 # Time for which a state is held for a writer, as a share of the time until it must be released.
 STATE_HOLD_SHARE = 0.5
-# Engines hold a state up to 300 ms longer than that; the rest is left for the release call.
+# Part of the 300 ms for which engines hold a state longer; the rest is left for the release call.
 STATE_HOLD_GRACE_NS = 250 * MS
 # Retry-After of requests that are rejected because all writers are full.
 WRITERS_FULL_RETRY_AFTER_NS = SECOND
@@ -70,7 +70,7 @@
         return held_for > STATE_HOLD_SHARE * self.settings.release_within
 
     def dispatch_awaiting_writer(self, now: int) -> None:
-        """Send requests whose prompt has been read to writers."""
+        """Send requests to writers whose prompts have been read."""
         for request in list(self.table.awaiting_writer.values()):
             if self._start_write(request, now):
                 del self.table.awaiting_writer[request.id]
@@ -82,7 +82,7 @@
                 self.retry(request, now)
 
     def _start_write(self, request: Request, now: int) -> bool:
-        """Send a request to the best writer; False if there is none."""
+        """Send a request to the best writer; returns False if none takes it now."""
         if self._write_may_come_too_late(request, now):
             return False
         writer = self._pick_writer(request, now)
@@ -143,12 +143,12 @@
             self.actions.log("full", "writers are full: requests are refused", now)
 
     def _start(self, request: Request, now: int) -> bool:
-        """Start or reject a queued request; False leaves it queued."""
+        """Start or reject a queued request; returns False if it stays queued."""
         candidates = self.reader_selector.candidates(request, now)
         readers = self._allowed(request, candidates, now)
         readers = self._prefer_not_failed(request, readers, now)
         mixed = self._mixed_engines(request, now)
-        if mixed and (not readers or self._is_short_uncached(request, now)):
+        if mixed and (not readers or self._has_few_uncached_tokens(request, now)):
             return self._start_in_place(request, mixed, now)
         if not readers:
             if not self.settings.writers_can_read or self.health.pool.ready(READER):
@@ -165,14 +165,14 @@
             engines = self.health.candidates(MIXED, now)
         return self._allowed(request, engines, now)
 
-    def _is_short_uncached(self, request: Request, now: int) -> bool:
-        """Return whether few tokens of the prompt are uncached at the reader with most of them."""
+    def _has_few_uncached_tokens(self, request: Request, now: int) -> bool:
+        """Return whether the reader with the longest match has few tokens left to read."""
         matches = self.prefix_cache.matches(request.arrival, now)
         cached = max(matches.values(), default=0)
         return request.arrival.prompt_tokens - cached <= MAX_IN_PLACE_TOKENS
 
     def _start_read(self, request: Request, readers: list[Engine], now: int) -> bool:
-        """Send a request to the best reader, or reject it early; False leaves it queued."""
+        """Send a request to the best reader or reject it early; returns False if it waits."""
         choice = self.reader_selector.pick(request, readers, now)
         latency = self._predict_read(request, choice, now)
         verdict = self.admission.decide_read(request, choice.engine, latency, now)
--- a/claycross/routing/endpoint_table.py
+++ b/claycross/routing/endpoint_table.py
@@ -71,7 +71,7 @@
         return by_tag.get(tag, [])
 
     def _by_tag(self) -> dict[int, list[Engine]]:
-        found: dict[int, list[Engine]] = {}
+        by_tag: dict[int, list[Engine]] = {}
         for engine in self.health.engines.values():
-            found.setdefault(self.tag_of(engine.id), []).append(engine)
-        return found
+            by_tag.setdefault(self.tag_of(engine.id), []).append(engine)
+        return by_tag
--- a/claycross/routing/engine_pool.py
+++ b/claycross/routing/engine_pool.py
@@ -59,8 +59,8 @@
                 if engine.role == role and engine.entry.state == READY
             ]
 
-        found: list[Engine] = self.memoize("ready", role, ready_engines)
-        return found
+        ready: list[Engine] = self.memoize("ready", role, ready_engines)
+        return ready
 
     def memoize(self, name: str, role: str, compute: Callable[[], Any]) -> Any:
         """Return a value that is computed once a batch.
--- a/claycross/routing/outlier_detection.py
+++ b/claycross/routing/outlier_detection.py
@@ -226,10 +226,10 @@
 
     def candidates(self, role: str, now: int) -> list[Engine]:
         """Return the engines of a role that can be chosen."""
-        found: list[Engine] = self.pool.memoize(
+        candidates: list[Engine] = self.pool.memoize(
             "candidates", role, lambda: self._find_candidates(role, now)
         )
-        return found
+        return candidates
 
     def _find_candidates(self, role: str, now: int) -> list[Engine]:
         ready = self.pool.ready(role)
@@ -256,13 +256,13 @@
         def can_be_chosen(engine: Engine) -> bool:
             return self.is_healthy(engine, now) and self.slow_start.budget(engine, now) > 0
 
-        found = collect_accepted(groups, can_be_chosen, MAX_CANDIDATES)
-        if len(found) < min(MAX_CANDIDATES, len(sample) * (1 - MAX_EJECTED_SHARE)):
+        candidates = collect_accepted(groups, can_be_chosen, MAX_CANDIDATES)
+        if len(candidates) < min(MAX_CANDIDATES, len(sample) * (1 - MAX_EJECTED_SHARE)):
             # As in candidates(), so many ejections are ignored.
-            found = collect_accepted(
+            candidates = collect_accepted(
                 groups, lambda engine: self._has_budget(engine, now), MAX_CANDIDATES
             )
-        return found
+        return candidates
 
 
 def initial_pace(role: EngineRole) -> int:
--- a/claycross/routing/prefix_cache.py
+++ b/claycross/routing/prefix_cache.py
@@ -84,7 +84,7 @@
 
     def matches(self, arrival: RequestArrived, now: int) -> dict[str, int]:
         """Return the credited tokens of a prompt by reader, without readers that have none."""
-        found = {
+        matches = {
             reader: min(credit.tokens, arrival.prompt_tokens)
             for reader, credit in self.prefixes.get(arrival.prefix, {}).items()
             if now - credit.at < CREDIT_LIFETIME_NS
@@ -92,8 +92,8 @@
         last = self.sessions.get(arrival.session, NO_SESSION)
         if last.reader and now - last.at < CREDIT_LIFETIME_NS:
             session_tokens = min(last.prompt, arrival.prompt_tokens)
-            found[last.reader] = max(found.get(last.reader, 0), session_tokens)
-        return found
+            matches[last.reader] = max(matches.get(last.reader, 0), session_tokens)
+        return matches
 
     def forget_reader(self, reader: str) -> None:
         """Drop a reader's credits, because it restarted, was removed or lost its cache."""
--- a/claycross/routing/rendezvous.py
+++ b/claycross/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all gateways rank engines alike without communication."""
+"""Rendezvous hashing: all gateways compute the same ranking of engines without communication."""
 
 from __future__ import annotations
 
--- a/claycross/routing/router.py
+++ b/claycross/routing/router.py
@@ -317,7 +317,7 @@
             return
         if event.result != AttemptResult.LOCAL_ERROR:
             request.failed_engines.append(attempt.engine.id)
-        # The state was released, probably before the write could arrive.
+        # The state was released before the write can have arrived.
         state_lost = event.state_released and attempt.failed_connection_checks > 0
         must_read = (
             attempt.is_read
--- a/claycross/routing/tenant_quota.py
+++ b/claycross/routing/tenant_quota.py
@@ -25,6 +25,6 @@
         capacity = max(QUOTA_BURST_S * rate, MIN_QUOTA_BURST_REQUESTS)
         level, filled_at = self.buckets.get(tenant, (capacity, now))
         level = min(capacity, level + rate * (now - filled_at) / SECOND)
-        over = level < 1
-        self.buckets[tenant] = (level if over else level - 1, now)
-        return over
+        is_over = level < 1
+        self.buckets[tenant] = (level if is_over else level - 1, now)
+        return is_over
--- a/claycross/routing/writer_selection.py
+++ b/claycross/routing/writer_selection.py
@@ -36,10 +36,10 @@
         """Return the writers that can be chosen; of a large fleet one sample for each batch."""
         if not self.health.pool.large:
             return self._all_writers(now)
-        found: list[Engine] = self.health.pool.memoize(
+        writers: list[Engine] = self.health.pool.memoize(
             "writers", "", lambda: self._sample(str(now), None, now)
         )
-        return found
+        return writers
 
     def candidates(
         self, request: Request, holder_endpoint: EngineEndpoint | None, now: int
@@ -55,7 +55,7 @@
 
     def _sample(self, salt: str, holder_endpoint: EngineEndpoint | None, now: int) -> list[Engine]:
         index = self.health.pool.index
-        found: list[Engine] = []
+        writers: list[Engine] = []
         for role in (WRITER, MIXED):
             preferred = []
             if holder_endpoint:
@@ -65,8 +65,8 @@
                     list(sample_evenly(in_cell, salt, MAX_SAMPLED_NEARBY)),
                     list(sample_evenly(in_zone, salt, MAX_SAMPLED_NEARBY)),
                 ]
-            found += self.health.sample_candidates(role, now, salt, preferred)
-        return found
+            writers += self.health.sample_candidates(role, now, salt, preferred)
+        return writers
 
     def pick(
         self, request: Request, holder: Engine | None, candidates: list[Engine], now: int
@@ -129,5 +129,5 @@
         def count() -> Counter[int]:
             return Counter(engine.entry.cell for engine in self.health.pool.ready(role))
 
-        found: Counter[int] = self.health.pool.memoize_briefly("cells", role, count)
-        return found
+        counts: Counter[int] = self.health.pool.memoize_briefly("cells", role, count)
+        return counts
