--- a/claycross/routing/load_estimation.py
+++ b/claycross/routing/load_estimation.py
@@ -73,8 +73,10 @@
         """
 
         def unseen_sends() -> float:
-            peers = len(self.health.pool.ready(engine.role))
-            return self.load_gossip.unseen_sends(self.health.slow_start.arrival_rate(now), peers)
+            engine_count = len(self.health.pool.ready(engine.role))
+            return self.load_gossip.unseen_sends(
+                self.health.slow_start.arrival_rate(now), engine_count
+            )
 
         unseen = self.health.pool.memoize("unseen", engine.role, unseen_sends)
         return LOAD_JITTER_FACTOR * unseen * rank(str(request.id), engine.id) if unseen else 0.0
