--- a/claycross/routing/router.py
+++ b/claycross/routing/router.py
@@ -139,7 +139,7 @@
         }
 
     def _new_load_gossip(self) -> LoadGossip:
-        """Create the load gossip: full for few gateways, aggregated for many."""
+        """Create the load gossip; among many gateways, one of them aggregates the load of all."""
         settings = self.settings
         if not self.gossips or settings.gateway_count <= settings.aggregate_above:
             return LoadGossip(settings.gateway_count, tag)
