--- a/claycross/gateway/endpoint_updates.py
+++ b/claycross/gateway/endpoint_updates.py
@@ -122,7 +122,7 @@
             return
         restored = warm_start.restore(self.parts.chat.router, snapshot, self.loop.now())
         self.log(
-            f"handover-learned engines={restored} of={len(snapshot.engines)} "
+            f"warm-start-restored engines={restored} of={len(snapshot.engines)} "
             f"sessions={len(snapshot.sessions)}"
         )
         state_store.snapshot = None
--- a/claycross/recovery/state_files.py
+++ b/claycross/recovery/state_files.py
@@ -156,7 +156,7 @@
 
     def log_refused(self, name: str, reason: str) -> None:
         """Log that a file is not used."""
-        self.log(f"handover-refused path={self.path_of(name)} why={reason}")
+        self.log(f"state-file-rejected path={self.path_of(name)} why={reason}")
 
     # ------------------------------------------------------------ writing
 
@@ -243,7 +243,7 @@
         """Log that the state can't be written, once for failures in a row."""
         if not self.failed:
             self.log(
-                f"handover-unwritten path={self.folder} why={error.strerror}; "
+                f"state-write-failed path={self.folder} why={error.strerror}; "
                 "it stays this process's"
             )
         self.failed = True
--- a/claycross/recovery/state_store.py
+++ b/claycross/recovery/state_store.py
@@ -102,7 +102,7 @@
         self.state = state
         self.ejections.adopt(state.ejected)
         self.draining = state.draining
-        self.log_state("handover-taken", state)
+        self.log_state("state-restored", state)
         if state.snapshot:
             self.load_snapshot(state.snapshot)
 
@@ -111,14 +111,14 @@
         try:
             self.snapshot = warm_start.decode(fields, self.loop.now(), self.loop.clock_id)
         except warm_start.InvalidSnapshotError as err:
-            self.log(f"handover-unlearned why={err}")
+            self.log(f"warm-start-rejected why={err}")
 
     def follow(self) -> None:
         """Adopt a newer state that another process of this gateway has written."""
         if not self.writing and self.files.changed():
             state = self.files.load()
             if state is not None and is_newer(state, self.state.sequence):
-                self.log_state("handover-followed", state)
+                self.log_state("state-adopted", state)
                 self.adopt(state)
         self.loop.call_later(FOLLOW_INTERVAL, self.follow)
 
@@ -213,7 +213,7 @@
     def write_succeeded(self, state: PersistedState, changes: tuple[StateChange, ...]) -> None:
         """Drop the changes that are persisted, and adopt the state they were applied to."""
         if self.failures:
-            self.log(f"handover-written sequence={state.sequence} after={self.failures}")
+            self.log(f"state-written sequence={state.sequence} after={self.failures}")
         # By identity: an equal change may have been made again during the write.
         persisted = {id(change) for change in changes}
         self.pending = [change for change in self.pending if id(change) not in persisted]
--- a/claycross/requests/manager.py
+++ b/claycross/requests/manager.py
@@ -326,11 +326,7 @@
             begin()
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the first byte of an attempt may be sent; asked at that moment.
-
-        While it was connecting a drain may have been announced, its client may have left, or the
-        window in which it may run again may have ended.
-        """
+        """Whether the first byte of an attempt may be sent; asked right before it is sent."""
         return self.checks.may_send(attempt)
 
     def attempt_sent(self, attempt: Attempt) -> None:
@@ -375,7 +371,9 @@
         request = attempt.request
         if request.is_decided():
             return
-        self.log(f"engine-rejects engine={attempt.engine} request={request.key} status={status}")
+        self.log(
+            f"engine-rejected-request engine={attempt.engine} request={request.key} status={status}"
+        )
         self.finish_request(request, RequestEnd.REJECTED_BY_ENGINE)
         request.reply.fail()
         self.enqueue(i.RequestAbandoned(request.number))
--- a/claycross/requests/release_coordinator.py
+++ b/claycross/requests/release_coordinator.py
@@ -226,7 +226,7 @@
         now = self.clock.now()
         if self.metrics.trace:
             self.metrics.trace(
-                f"let-go request={release.key} holder={release.engine} at={engine} "
+                f"release-call request={release.key} holder={release.engine} at={engine} "
                 f"heard={acknowledged} doubt={release.uncertain} "
                 f"ms={(now - called_at) / MS:.1f} since_ms={(now - release.began) / MS:.1f}"
             )
@@ -239,7 +239,7 @@
         release.call_finished(engine, acknowledged, self.clock.now(), is_listed)
         if release.lost:
             self.log(
-                f"lease-lost engine={release.engine} request={release.key} "
+                f"release-failed engine={release.engine} request={release.key} "
                 f"relays={len(release.relays)}"
             )
         if release.finished:
--- a/claycross/requests/request_metrics.py
+++ b/claycross/requests/request_metrics.py
@@ -113,7 +113,8 @@
         self.count("hold-due")
         if self.trace:
             self.trace(
-                f"hold-due request={request.key} holders={','.join(request.reserved_at)} "
+                f"reservation-expired request={request.key} "
+                f"holders={','.join(request.reserved_at)} "
                 f"status={request.reservation.status.name} "
                 f"since_ms={(now - request.reservation.since) / MS:.1f}"
             )
--- a/tests/recovery/test_state_files.py
+++ b/tests/recovery/test_state_files.py
@@ -78,7 +78,7 @@
     mine.log_unused_files()
     assert mine.load() is None and mine.save(PersistedState(1, NOW, {}, False, 1))
     assert other.load() == GOOD and not other.changed()
-    assert len(logged) == 1 and "handover-refused" in logged[0] and "other settings" in logged[0]
+    assert len(logged) == 1 and "state-file-rejected" in logged[0] and "other settings" in logged[0]
     os.replace(other.path, tmp_path / "claycross-n0.bbbb.99.1.state")
     assert mine.load() == PersistedState(1, NOW, {}, False, 1) and "other settings" in logged[-1]
 
@@ -136,7 +136,7 @@
     with open(state_files.path, "wb") as file:
         file.write(spoil(data))
     assert state_files.load() is None
-    assert len(logged) == 1 and "handover-refused" in logged[0] and why in logged[0]
+    assert len(logged) == 1 and "state-file-rejected" in logged[0] and why in logged[0]
 
 
 @given(st.binary(max_size=400))
@@ -171,7 +171,7 @@
     logged = []
     state_files = StateFiles(str(tmp_path / "missing"), "n0", logged.append)
     assert not state_files.save(GOOD) and not state_files.save(GOOD)
-    assert len(logged) == 1 and "handover-unwritten" in logged[0]
+    assert len(logged) == 1 and "state-write-failed" in logged[0]
 
 
 def passed_site(site, tmp_path, *engines):
@@ -188,7 +188,7 @@
     old = s.process
     assert s.call(f"set-down {one.uid}").startswith("ok")
     new = s.start("log.new")
-    assert eventually(lambda: "handover-taken" in s.log())
+    assert eventually(lambda: "state-restored" in s.log())
     assert "bans=1" in s.log()
     eventually(lambda: s.call("check").startswith("ok"))
     old.send_signal(signal.SIGTERM)
@@ -218,9 +218,7 @@
     new_door, s.door_address = s.door_address, old_door
     assert s.call("drain-on").startswith("ok draining")  # at the old process's door, while both run
     s.door_address = new_door
-    assert eventually(
-        lambda: "handover-followed" in s.log() and "drained=True" in s.log(), within=3
-    )
+    assert eventually(lambda: "state-adopted" in s.log() and "drained=True" in s.log(), within=3)
     old.send_signal(signal.SIGTERM)
     assert old.wait(5) == 0
     with Client(s.address) as c:
@@ -252,8 +250,8 @@
         left.unlink()
         (folder / "claycross-n0.7.1.state").write_bytes(wrap(fields))
     s.start("log.new")
-    assert ("handover-taken" in s.log()) is (spoil is None)
-    assert ("handover-refused" in s.log()) is (spoil is not None)
+    assert ("state-restored" in s.log()) is (spoil is None)
+    assert ("state-file-rejected" in s.log()) is (spoil is not None)
     eventually(lambda: s.call("check").startswith("ok"))
     with Client(s.address) as c:
         assert c.send("GET", "/-/ready").answer().status == (503 if spoil is None else 200)
@@ -269,7 +267,7 @@
         foreign = PersistedState(3, time.time_ns(), {"x": 1}, True, 1)
         (folder / "claycross-n0.1.1.state").write_bytes(wrap(encode(foreign, "n7")))
     s = site(Engine("p"), Engine("d"), door=True, tmp=folder)
-    assert "handover-refused" in s.log() and "handover-taken" not in s.log()
+    assert "state-file-rejected" in s.log() and "state-restored" not in s.log()
     assert "written by gateway 'n7'" in s.log() or left is not None
     assert s.chat().status == 200
     with Client(s.address) as c:
--- a/tests/recovery/test_state_store.py
+++ b/tests/recovery/test_state_store.py
@@ -68,7 +68,7 @@
     assert gets_nothing(s, readers[1])  # here it counts all the same
     faults.clear()
     eventually(lambda: s.call("set-down p-1").startswith("ok"))  # out already, and kept by now
-    assert "handover-written" in s.log()
+    assert "state-written" in s.log()
     restart(s, faults)
     assert gets_nothing(s, readers[1])
 
@@ -78,7 +78,7 @@
     faults.set(Field.SHORT_IO, 1000)
     assert s.call("set-down p-1").startswith("ok")
     restart(s, faults)
-    assert "handover-taken" in s.log() and gets_nothing(s, readers[1])
+    assert "state-restored" in s.log() and gets_nothing(s, readers[1])
 
 
 @pytest.mark.parametrize("field", [Field.KILL_AT_WRITE, Field.KILL_AT_SYNC, Field.KILL_AT_RENAME])
@@ -92,7 +92,7 @@
             s.call(call)
     eventually(lambda: s.process.poll() is not None)
     restart(s, faults)
-    assert "handover-refused" not in s.log()
+    assert "state-file-rejected" not in s.log()
     assert gets_nothing(s, readers[1])
 
 
