--- a/claycross/discovery/engine_incarnations.py
+++ b/claycross/discovery/engine_incarnations.py
@@ -123,6 +123,6 @@
         """The engine counts as starting now, and the reason is logged once per announcement."""
         self.implausible += 1
         self.log_messages.append(
-            f"engine-start-doubted engine={entry.engine} boot={entry.incarnation} why={why}"
+            f"engine-start-implausible engine={entry.engine} boot={entry.incarnation} why={why}"
         )
         return now
--- a/claycross/discovery/membership_driver.py
+++ b/claycross/discovery/membership_driver.py
@@ -118,7 +118,7 @@
         """Logs when this gateway becomes isolated, or is no longer."""
         cut = self.members.cut(self.loop.now())
         if cut != self.cut:
-            self.log(f"cut-off from={cut or 'nobody'} was={self.cut or 'nobody'}")
+            self.log(f"isolation-changed from={cut or 'nobody'} was={self.cut or 'nobody'}")
             self.cut = cut
 
     def metrics(self) -> dict[str, int]:
--- a/claycross/discovery/watch.py
+++ b/claycross/discovery/watch.py
@@ -194,7 +194,7 @@
         except DiscoveryDataError as err:
             told = DiscoveryMessage(0, i.EndpointListUpdate("saved"), {}, str(err))
         if told.error:
-            self.log(f"discovery-junk source=known {told.error}")
+            self.log(f"discovery-invalid source=known {told.error}")
         self.version = 0 if told.error else told.version  # what could not be read is asked for anew
         self.notify(told.update, told.endpoints)
 
@@ -314,7 +314,8 @@
                     took = self.loop.now() - asked
                     wait.seen(took)
                     self.log(
-                        f"discovery-slow first_word_ms={took // MS} given_ms={wait.span // MS}"
+                        f"discovery-slow first_response_ms={took // MS} "
+                        f"timeout_ms={wait.span // MS}"
                     )
                     return
         except DiscoveryDataError:
--- a/claycross/emulator/fault_scenario.py
+++ b/claycross/emulator/fault_scenario.py
@@ -471,7 +471,7 @@
         for part in self.gateways:
             for line in (part.before + part.path.read_text()).splitlines():
                 if found := re.match(
-                    r"(\d+\.\d+) \S+ (member |members |cut-off |policy sums ).*", line
+                    r"(\d+\.\d+) \S+ (member |members |isolation-changed |policy sums ).*", line
                 ):
                     out.append(
                         (float(found[1]), part.name, line.partition(" ")[2].partition(" ")[2])
--- a/tests/discovery/test_engine_incarnations.py
+++ b/tests/discovery/test_engine_incarnations.py
@@ -38,7 +38,9 @@
     starts = EngineIncarnations()
     told(starts, WALL - 60 * SECOND, "full", word_before=0)
     assert told(starts, WALL + step) == NOW
-    assert starts.implausible == 1 and "engine-start-doubted engine=r1" in starts.log_messages[0]
+    assert (
+        starts.implausible == 1 and "engine-start-implausible engine=r1" in starts.log_messages[0]
+    )
 
 
 def test_a_claim_is_believed_as_far_as_it_was_not_contradicted():
--- a/tests/emulator/test_fault_scenario.py
+++ b/tests/emulator/test_fault_scenario.py
@@ -100,10 +100,10 @@
     report = play(
         6, 22, *zones, trouble(at_s=13, for_s=4, do="cut", from_="gateways", to="g0", both=False)
     )
-    assert {g for _, g, _ in changes(report, "cut-off from=zone")} >= {"g1", "g4"}
-    said = {line.split()[1]: line for line in report["members"] if " cut-off " in line}
+    assert {g for _, g, _ in changes(report, "isolation-changed from=zone")} >= {"g1", "g4"}
+    said = {line.split()[1]: line for line in report["members"] if " isolation-changed " in line}
     assert all("from=nobody" in line for line in said.values()), said
-    assert {g for _, g, _ in changes(report, "cut-off from=alone")} >= {"g0"}
+    assert {g for _, g, _ in changes(report, "isolation-changed from=alone")} >= {"g0"}
     gone = changes(report, "state=gone")
     assert {m for _, g, m in gone if g in ("g0", "g2", "g3", "g5")} >= {"1", "4"}
     assert not [
