--- a/claycross/discovery/watch.py
+++ b/claycross/discovery/watch.py
@@ -175,7 +175,7 @@
         )  # of a try, and between two: what is told meanwhile is late
         self.version, self.told_by = 0, address  # of the list, and whose version that is
         self.back_off, self.failed = min(BACK_OFF, longest), 0
-        self.last_word_at = self.previous_word_at = (
+        self.last_word_at = self.previous_message_at = (
             0  # when discovery last spoke, and when before that
         )
         self.generation = self.heard = (
@@ -291,7 +291,7 @@
                     if not heard:
                         self.first_word_wait.seen(self.loop.now() - asked)
                     heard = self.loop.now()
-                    self.previous_word_at, self.last_word_at = self.last_word_at, heard
+                    self.previous_message_at, self.last_word_at = self.last_word_at, heard
                     if any(found):
                         self.told_something(turn)
                     yield from found
--- a/claycross/gateway/endpoint_updates.py
+++ b/claycross/gateway/endpoint_updates.py
@@ -72,7 +72,7 @@
         saved = update.kind == UpdateKind.SAVED
         is_first = not saved and parts.list_freshness.discovery_responded()
         update = parts.incarnations.apply(
-            update, self.loop.now(), time.time_ns(), self.discovery.previous_word_at
+            update, self.loop.now(), time.time_ns(), self.discovery.previous_message_at
         )
         self.log_incarnations()
         update = parts.ejections.apply(update)
