--- a/claycross/discovery/watch.py
+++ b/claycross/discovery/watch.py
@@ -175,7 +175,7 @@
         )  # of a try, and between two: what is told meanwhile is late
         self.version, self.told_by = 0, address  # of the list, and whose version that is
         self.back_off, self.failed = min(BACK_OFF, longest), 0
-        self.last_word_at = self.previous_word_at = (
+        self.last_word_at = self.previous_message_at = (
             0  # when discovery last spoke, and when before that
         )
         self.generation = self.heard = (
@@ -194,7 +194,7 @@
         except DiscoveryDataError as err:
             told = DiscoveryMessage(0, i.EndpointListUpdate("saved"), {}, str(err))
         if told.error:
-            self.log(f"discovery-junk source=known {told.error}")
+            self.log(f"discovery-invalid source=known {told.error}")
         self.version = 0 if told.error else told.version  # what could not be read is asked for anew
         self.notify(told.update, told.endpoints)
 
@@ -291,7 +291,7 @@
                     if not heard:
                         self.first_word_wait.seen(self.loop.now() - asked)
                     heard = self.loop.now()
-                    self.previous_word_at, self.last_word_at = self.last_word_at, heard
+                    self.previous_message_at, self.last_word_at = self.last_word_at, heard
                     if any(found):
                         self.told_something(turn)
                     yield from found
@@ -314,7 +314,8 @@
                     took = self.loop.now() - asked
                     wait.seen(took)
                     self.log(
-                        f"discovery-slow first_word_ms={took // MS} given_ms={wait.span // MS}"
+                        f"discovery-slow first_response_ms={took // MS} "
+                        f"timeout_ms={wait.span // MS}"
                     )
                     return
         except DiscoveryDataError:
