--- a/claycross/gateway/statistics.py
+++ b/claycross/gateway/statistics.py
@@ -113,7 +113,7 @@
         if self.parts.peers:
             self.log(f"stats-peers {format_counts(self.parts.peers.metrics())}")
         if self.loop_metrics:
-            self.log(f"stats-rounds {self.loop_metrics.summary()}")
+            self.log(f"stats-iterations {self.loop_metrics.summary()}")
         if self.parts.membership:
             self.log(f"stats-gateways {format_counts(self.parts.membership.metrics())}")
 
--- a/claycross/net/loop_metrics.py
+++ b/claycross/net/loop_metrics.py
@@ -96,7 +96,7 @@
         if max(span, lag) > self.late:
             cpu = time.thread_time_ns() - cpu_start
             self.log(
-                f"late-round ms={span / MS:.1f} late_ms={lag / MS:.1f} "
+                f"slow-iteration ms={span / MS:.1f} late_ms={lag / MS:.1f} "
                 f"cpu_ms={cpu / MS:.1f} gc_ms={self.collected / MS:.1f} "
                 f"ready={len(ready)} longest={self.longest.name} "
                 f"longest_ms={self.longest.span / MS:.1f}"
