--- a/claycross/frontends/base.py
+++ b/claycross/frontends/base.py
@@ -88,7 +88,7 @@
         # The last exchange of each connection, for the check when it ends.
         self.exchanges: dict[Connection, Exchange] = {}
         self.listener = Listener(
-            loop, listen, self.connection_accepted, self.has_capacity, passed=passed
+            loop, listen, self.connection_accepted, self.has_capacity, inherited_descriptor=passed
         )
 
     @staticmethod
@@ -123,7 +123,7 @@
             for connection, entry in self.clients.items():
                 if entry.state is not state or now - entry.since < grace:
                     continue
-                if unread_allowed or connection.is_quiet():
+                if unread_allowed or connection.is_idle():
                     return connection
         return None
 
@@ -195,7 +195,9 @@
         try:
             while not connection.closed:
                 try:
-                    if not self.serve_request(connection, inbox, first=not inbox.messages.seen):
+                    if not self.serve_request(
+                        connection, inbox, first=not inbox.messages.head_count
+                    ):
                         break
                     errors = 0
                 except RequestError as error:
@@ -308,7 +310,7 @@
             if request is not None:
                 return request
             idle = partial.head is None and messages.idle()
-            if idle and self.shedding and not first and connection.is_quiet():
+            if idle and self.shedding and not first and connection.is_idle():
                 self.manager.count("closed-draining")
                 return None
             # The time of a request that waited for its turn runs from then on.
@@ -325,9 +327,9 @@
                 messages.eof()
                 return None
             if not partial.received_at:
-                partial.received_at = connection.read_at
+                partial.received_at = connection.received_at
                 self.set_state(connection, ClientState.REQUESTING)
-            parts = inbox.feed(data, connection.read_at)
+            parts = inbox.feed(data, connection.received_at)
 
     def assemble(
         self, connection: Connection, partial: PartialRequest, parts: list[Head | Body | End]
@@ -393,7 +395,7 @@
         data = connection.recv()
         if not data:
             raise ConnectionClosedError("the client left")
-        inbox.keep(data, connection.read_at)
+        inbox.keep(data, connection.received_at)
 
     def reads_ahead(self, connection: Connection, inbox: Inbox) -> bool:
         """Return whether to read on while a request is under way."""
@@ -401,7 +403,7 @@
             return True
         # Once so much waited, all of it has to be read: TCP tells the sender of more room only
         # when the queue is empty.
-        inbox.flooded = inbox.flooded or connection.unread() >= UNREAD_LIMIT
+        inbox.flooded = inbox.flooded or connection.unread_bytes() >= UNREAD_LIMIT
         if not inbox.flooded:
             return False
         total = sum(exchange.inbox.size() for exchange in self.exchanges.values() if exchange.inbox)
--- a/claycross/net/connection.py
+++ b/claycross/net/connection.py
@@ -48,7 +48,7 @@
         # What is there to be read may have been there since then; 0: at the last look there was
         # nothing.
         self.readable_since = readable_since
-        self.read_at = 0  # since when the bytes that were read last may have been there
+        self.received_at = 0  # since when the bytes that were read last may have been there
         self.reader: Task | None = None
         self.writer: Task | None = None
         self.mask = 0  # of the poll events that are watched now
@@ -56,7 +56,7 @@
         self.interrupted = False
         self.hang_up_only = False  # the reader waits for the peer to end its sending, not for bytes
         # Called once if anything happens while no task reads.
-        self.idle: Callable[[], None] | None = None
+        self.on_idle_event: Callable[[], None] | None = None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -119,7 +119,7 @@
         mask = 0
         if self.reader and self.hang_up_only:
             mask |= select.POLLRDHUP
-        elif self.reader or self.idle:
+        elif self.reader or self.on_idle_event:
             mask |= select.POLLIN
         if self.writer:
             mask |= select.POLLOUT
@@ -135,9 +135,9 @@
         if self.writer and mask & WRITABLE:
             self.loop.wake(self.writer)
             self.writer = None
-        if self.idle and mask & READABLE:
-            idle = self.idle
-            self.idle = None
+        if self.on_idle_event and mask & READABLE:
+            idle = self.on_idle_event
+            self.on_idle_event = None
             idle()
         self.watch()
 
@@ -239,7 +239,7 @@
                 raise ConnectionClosedError(str(error)) from None
             else:
                 self.readable_since = self.readable_since or self.loop.ready_since
-                self.read_at = self.readable_since
+                self.received_at = self.readable_since
                 return data
             if self.interrupted:
                 self.interrupted = False
@@ -274,7 +274,7 @@
 
     # ------------------------------------------------------------ state
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether it is open with nothing to read.
 
         Only such a connection may carry a new request.
@@ -300,11 +300,11 @@
         poller.register(self.sock.fileno(), select.POLLRDHUP)
         return any(mask & HANG_UP for _, mask in poller.poll(0))
 
-    def undelivered(self) -> int:
+    def unacknowledged_bytes(self) -> int:
         """Return how many bytes were sent that the peer's system has not acknowledged."""
         return self._queue_length(termios.TIOCOUTQ)
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Return how many bytes have arrived that were not read."""
         return self._queue_length(termios.FIONREAD)
 
@@ -332,7 +332,7 @@
         After an orderly close the system would go on sending that for as long as the peer takes
         to read it.
         """
-        if not self.closed and self.undelivered():
+        if not self.closed and self.unacknowledged_bytes():
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         self.close()
@@ -342,7 +342,7 @@
         if self.closed:
             return
         self.closed = True
-        self.idle = None
+        self.on_idle_event = None
         if self.mask:
             self.loop.watch(self.sock.fileno(), 0, self.ready)
         self.sock.close()
--- a/claycross/net/http1.py
+++ b/claycross/net/http1.py
@@ -67,7 +67,9 @@
     status: int = 0
     minor: int = 1  # version of HTTP/1
     headers: dict[str, str] = field(default_factory=dict)
-    raw: list[tuple[str, str]] = field(default_factory=list)  # as they arrived, names included
+    raw_headers: list[tuple[str, str]] = field(
+        default_factory=list
+    )  # as they arrived, names included
 
     def get(self, name: str, default: str = "") -> str:
         """Return a header's value."""
@@ -121,7 +123,7 @@
         self.trailer = 0  # bytes of trailers so far
         self.over = False
 
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         """Return whether no chunk is here in part."""
         return self.over or (self.state is CHUNK_STATE_SIZE and not self.buffer)
 
@@ -241,17 +243,17 @@
         self.size = 0  # bytes of the body so far
         self.checked = 0  # bytes of the buffer that are valid lines of a partial head
         self.chunks = ChunkedBodyParser()
-        self.seen = 0  # heads so far
+        self.head_count = 0  # heads so far
         self.head = Head()  # of the current message, or the last one
 
     def idle(self) -> bool:
         """Return whether no part of a next message is here."""
         return self.state is STATE_HEAD and not self.buffer
 
-    def between(self) -> bool:
+    def at_boundary(self) -> bool:
         """Return whether no head, chunk or body of a given length is here in part."""
         if self.state is STATE_CHUNKED:
-            return self.chunks.between()
+            return self.chunks.at_boundary()
         return self.state is STATE_UNTIL_CLOSE or self.idle()
 
     def next(self) -> list[Part]:
@@ -313,7 +315,7 @@
         self.checked = 0
         head = self.start_line(start_line.decode("latin-1"))
         self.head = head
-        self.seen += 1
+        self.head_count += 1
         for line in lines:
             self.add_header(head, line)
         self.choose_framing(head)
@@ -351,7 +353,7 @@
             head.headers[key] = f"{head.headers[key]}, {value}"
         else:
             head.headers[key] = value
-        head.raw.append((name, value))
+        head.raw_headers.append((name, value))
 
     def split_header(self, line: bytes) -> tuple[bytes, bytes]:
         """Return the name and the value of a header line."""
@@ -405,7 +407,7 @@
 
     def check_interim(self, head: Head) -> None:
         """Reject interim responses without end, and a change of the protocol."""
-        if head.status == SWITCHING_PROTOCOLS or self.seen > MOST_INTERIM:
+        if head.status == SWITCHING_PROTOCOLS or self.head_count > MOST_INTERIM:
             raise MalformedMessageError(502, "interim answers without end, or another protocol")
 
     # ------------------------------------------------------------ the body
--- a/claycross/net/http2.py
+++ b/claycross/net/http2.py
@@ -47,25 +47,25 @@
 # Headers that are new with each request: in the table of header compression they would only
 # displace others.
 NEVER_INDEXED = {"x-request-id", "x-timeout-ms", "x-attrs", "x-route-key", "content-length"}
-REFUSED = int(h2.errors.ErrorCodes.REFUSED_STREAM)
+REFUSED_STREAM = int(h2.errors.ErrorCodes.REFUSED_STREAM)
 
 
 @dataclass(slots=True)
-class Ready:
+class SettingsReceived:
     """The server's own SETTINGS arrived: the connection preface is complete."""
 
     limit: int  # of concurrent streams
 
 
 @dataclass(slots=True)
-class Limit:
+class StreamLimitChanged:
     """The server changed the limit of concurrent streams."""
 
     limit: int
 
 
 @dataclass(slots=True)
-class Answered:
+class ResponseHead:
     """The head of a response; header names in lower case."""
 
     stream: int
@@ -79,7 +79,7 @@
 
     stream: int
     data: bytes
-    counted: int  # bytes of the window that it occupies, until took()
+    flow_controlled_bytes: int  # bytes of the window that it occupies, until acknowledge_data()
 
 
 @dataclass(slots=True)
@@ -115,16 +115,26 @@
 
 
 @dataclass(slots=True)
-class Window:
+class WindowUpdated:
     """More may be written: on one stream, or (0) on all."""
 
     stream: int
 
 
-Event = Ready | Limit | Answered | Data | Trailers | Ended | Reset | GoAway | Window
+Event = (
+    SettingsReceived
+    | StreamLimitChanged
+    | ResponseHead
+    | Data
+    | Trailers
+    | Ended
+    | Reset
+    | GoAway
+    | WindowUpdated
+)
 
 
-class OlderSpoken(MalformedMessageError):
+class Http1ResponseError(MalformedMessageError):
     """The server answered the connection preface in HTTP/1."""
 
 
@@ -151,13 +161,13 @@
     """One connection; after each call that may write, `pending()` has what is to be sent."""
 
     def __init__(self, window: int):
-        """`window`: bytes that the server may send on one stream ahead of took()."""
+        """`window`: bytes that the server may send on one stream ahead of acknowledge_data()."""
         self.h2 = new_connection(window)
         self.buffer = b""  # received, and not a whole frame yet
-        self.out = bytearray()  # to be sent
+        self.send_buffer = bytearray()  # to be sent
         self.ready = False  # the server's SETTINGS arrived
         self.highest = 0  # id of the newest stream
-        self.noise = 0  # frames that carry nothing, since the last noisy()
+        self.control_frames = 0  # since the last take_control_frame_count()
         self.interim: dict[int, int] = {}  # 1xx responses so far, by stream
         self.written_so_far = 0  # bytes of all that was to be sent
         self.queued = 0  # bytes of all that was or is to be sent
@@ -172,26 +182,26 @@
     def collect(self) -> None:
         """Take what the library has to send."""
         data = self.h2.data_to_send()
-        self.out += data
+        self.send_buffer += data
         self.queued += len(data)
 
     def pending(self) -> bytes:
         """Return the next bytes to be sent."""
-        return bytes(self.out[:MAX_WRITE])
+        return bytes(self.send_buffer[:MAX_WRITE])
 
-    def wrote(self, count: int) -> list[int]:
+    def mark_sent(self, count: int) -> list[int]:
         """Note that so many bytes of pending() were sent.
 
         Returns the streams whose requests are completely sent by that.
         """
-        del self.out[:count]
+        del self.send_buffer[:count]
         self.written_so_far += count
         done = []
         while self.ends and self.ends[0][0] <= self.written_so_far:
             done.append(self.ends.popleft()[1])
         return done
 
-    def open(
+    def send_head(
         self,
         method: str,
         target: str,
@@ -222,12 +232,12 @@
             self.ends.append((self.queued, stream))
         return stream
 
-    def room(self, stream: int) -> int:
+    def send_window(self, stream: int) -> int:
         """Return how many bytes of a body the windows allow now."""
         return max(0, self.h2.local_flow_control_window(stream))
 
-    def body(self, stream: int, data: memoryview, last: bool) -> None:
-        """Write a piece of a body, of at most room() bytes."""
+    def send_body(self, stream: int, data: memoryview, last: bool) -> None:
+        """Write a piece of a body, of at most send_window() bytes."""
         size = self.h2.max_outbound_frame_size
         for start in range(0, len(data), size):
             end = start + size
@@ -237,10 +247,10 @@
         if last:
             self.ends.append((self.queued, stream))
 
-    def took(self, stream: int, counted: int) -> None:
+    def acknowledge_data(self, stream: int, flow_controlled_bytes: int) -> None:
         """Note that bytes of the stream were consumed: the server may send as many again."""
-        if counted:
-            self.h2.acknowledge_received_data(counted, stream)
+        if flow_controlled_bytes:
+            self.h2.acknowledge_received_data(flow_controlled_bytes, stream)
             self.collect()
 
     def reset(self, stream: int) -> None:
@@ -256,7 +266,7 @@
         self.h2.ping(PING_DATA)
         self.collect()
 
-    def goodbye(self) -> None:
+    def send_goaway(self) -> None:
         """Announce that this side closes the connection."""
         self.h2.close_connection()
         self.collect()
@@ -275,7 +285,7 @@
         self.buffer += data
         events: list[Event] = []
         if self.buffer.startswith(b"HTTP/1."):
-            raise OlderSpoken(502, "HTTP/1 is spoken there")
+            raise Http1ResponseError(502, "HTTP/1 is spoken there")
         start = 0  # of the frames that the library has not been given
         position = 0
         while len(self.buffer) - position >= FRAME_HEAD:
@@ -285,8 +295,8 @@
             end = position + FRAME_HEAD + size
             if len(self.buffer) < end:
                 break
-            if self.is_noise(position, size, kind):
-                self.noise += 1
+            if self.is_control_frame(position, size, kind):
+                self.control_frames += 1
             if kind == GOAWAY:
                 self.through(self.buffer[start:position], events)
                 events.append(self.read_goaway(self.buffer[position:end]))
@@ -310,7 +320,7 @@
         if stream > self.highest and kind != PRIORITY:
             raise MalformedMessageError(502, f"a frame on stream {stream}, which was never opened")
 
-    def is_noise(self, position: int, size: int, kind: int) -> bool:
+    def is_control_frame(self, position: int, size: int, kind: int) -> bool:
         """Return whether a frame carries nothing of a response."""
         if kind == DATA:
             return not size and not self.buffer[position + 4] & END_STREAM
@@ -372,18 +382,18 @@
             case h2.events.RemoteSettingsChanged():
                 self.settings_changed(event, events)
             case h2.events.WindowUpdated():
-                events.append(Window(event.stream_id))
+                events.append(WindowUpdated(event.stream_id))
             case _:
                 pass  # PING, its answer, SETTINGS acknowledged, PRIORITY, ALTSVC, unknown frames
 
-    def response_head(self, event: h2.events.ResponseReceived) -> Answered:
+    def response_head(self, event: h2.events.ResponseReceived) -> ResponseHead:
         """Return the head of a response."""
         headers = join_headers(event.headers)
         status = headers.get(":status", "")
         if not (status.isdigit() and len(status) == STATUS_DIGITS):
             raise MalformedMessageError(502, "no status")
         self.interim.pop(event.stream_id, None)
-        return Answered(event.stream_id, int(status), headers)
+        return ResponseHead(event.stream_id, int(status), headers)
 
     def count_interim(self, stream: int) -> None:
         """Reject interim responses without end."""
@@ -399,16 +409,16 @@
         limit = changed.new_value if changed else UNLIMITED
         if not self.ready:
             self.ready = True
-            events.append(Ready(limit))
+            events.append(SettingsReceived(limit))
         elif changed:
-            events.append(Limit(limit))
+            events.append(StreamLimitChanged(limit))
         if codes.INITIAL_WINDOW_SIZE in event.changed_settings:
-            events.append(Window(0))
+            events.append(WindowUpdated(0))
 
-    def noisy(self) -> int:
+    def take_control_frame_count(self) -> int:
         """Return the number of frames that carried nothing since the last call."""
-        noise = self.noise
-        self.noise = 0
+        noise = self.control_frames
+        self.control_frames = 0
         return noise
 
 
--- a/claycross/net/listener.py
+++ b/claycross/net/listener.py
@@ -90,16 +90,20 @@
         on_connection: Callable[[Connection], None],
         has_capacity: Callable[[], bool],
         backlog: int = 256,
-        passed: int | None = None,
+        inherited_descriptor: int | None = None,
     ):
-        """Listen on `address`, or on the inherited socket with the descriptor `passed`."""
+        """Listen on `address`, or on an inherited socket if its descriptor is given."""
         self.loop = loop
         self.on_connection = on_connection
         self.has_capacity = has_capacity
         self.accept_errors: Counter[str] = Counter()  # by the name of the system's error
         # A shared socket is also held by the platform: what waits in it is not ours alone.
-        self.shared = passed is not None
-        self.sock = bound_socket(address) if passed is None else inherited_socket(passed)
+        self.shared = inherited_descriptor is not None
+        self.sock = (
+            bound_socket(address)
+            if inherited_descriptor is None
+            else inherited_socket(inherited_descriptor)
+        )
         self.sock.setblocking(False)
         self.sock.listen(backlog)
         self.bound_to: Address = self.sock.getsockname()[:2]
--- a/claycross/net/receive_timestamps.py
+++ b/claycross/net/receive_timestamps.py
@@ -12,10 +12,10 @@
 
 # Reads that are kept apart. Beyond that the newest one joins the one before and counts as older, so
 # that no time is later than the true one.
-MAX_MARKS = 256
+MAX_RECORDS = 256
 
 
-class Mark(NamedTuple):
+class ReceiveRecord(NamedTuple):
     """One read from the connection."""
 
     end: int  # position behind its bytes in the stream
@@ -27,18 +27,18 @@
 
     def __init__(self) -> None:
         self.total = 0  # bytes received so far
-        self.marks: deque[Mark] = deque()
+        self.records: deque[ReceiveRecord] = deque()
 
     def add(self, size: int, received_at: int) -> None:
         """Note that `size` bytes were received."""
         self.total += size
-        if len(self.marks) >= MAX_MARKS:
-            received_at = self.marks.pop().received_at
-        self.marks.append(Mark(self.total, received_at))
+        if len(self.records) >= MAX_RECORDS:
+            received_at = self.records.pop().received_at
+        self.records.append(ReceiveRecord(self.total, received_at))
 
     def oldest(self, pending: int) -> int:
         """Return when the first of the last `pending` bytes was received; 0 if there are none."""
         start = self.total - pending
-        while self.marks and self.marks[0].end <= start:
-            self.marks.popleft()
-        return self.marks[0].received_at if self.marks else 0
+        while self.records and self.records[0].end <= start:
+            self.records.popleft()
+        return self.records[0].received_at if self.records else 0
--- a/claycross/upstream/connection_pool.py
+++ b/claycross/upstream/connection_pool.py
@@ -48,10 +48,10 @@
             if index is None:
                 return self.dial(address)
             connection = waiting.pop(index).connection
-            connection.idle = None
+            connection.on_idle_event = None
             connection.watch()
             self.used += 1
-            if connection.is_quiet():
+            if connection.is_idle():
                 self.reused += 1
                 return connection
             self.drop(connection)
@@ -87,7 +87,7 @@
         self.used -= 1
         entry = IdleConnection(connection, self.loop.now())
         self.idle.setdefault(address, []).append(entry)
-        connection.idle = discard_idle
+        connection.on_idle_event = discard_idle
         connection.watch()
 
     def drop(self, connection: Connection) -> None:
--- a/claycross/upstream/http1.py
+++ b/claycross/upstream/http1.py
@@ -124,7 +124,7 @@
     ) -> AttemptEnd:
         """Feed a response to the reader until it ends."""
         while True:
-            partial = not messages.between()
+            partial = not messages.at_boundary()
             try:
                 data = connection.recv(reader.idle_timeout(partial))
             except TimeoutExpired:
--- a/claycross/upstream/http2.py
+++ b/claycross/upstream/http2.py
@@ -161,7 +161,7 @@
             match part:
                 case None:
                     raise MalformedMessageError(502, "the stream stands still")
-                case wire.Answered(_, status, headers):
+                case wire.ResponseHead(_, status, headers):
                     # Not before: the response shows whether the end of the body was sent.
                     reader.request_sent()
                     reader.head(status, headers)
@@ -212,11 +212,11 @@
         while len(body) <= SMALL:
             part = stream.next(max(MS, until - self.loop.now()))
             match part:
-                case wire.Answered():
+                case wire.ResponseHead():
                     status = part.status
                 case wire.Data():
                     body += part.data
-                    stream.took(part.counted)
+                    stream.took(part.flow_controlled_bytes)
                 case wire.Ended():
                     return CallResponse(status, body)
                 case Over(_, StreamOutcome.NOT_PROCESSED, why) if why == NOT_SPOKEN_REASON:
--- a/claycross/upstream/http2_connection.py
+++ b/claycross/upstream/http2_connection.py
@@ -54,7 +54,7 @@
             self.flush()
             self.read(socket)
         except MalformedMessageError as error:
-            how = "junk" if isinstance(error, wire.OlderSpoken) else "closed"
+            how = "junk" if isinstance(error, wire.Http1ResponseError) else "closed"
             why = f"junk: {error}"
             self.send_last()
         except ConnectionClosedError:
@@ -68,12 +68,14 @@
             if not data:
                 return
             events = self.session.feed(data)
-            self.peer.account.heard(self.record, self.loop.now(), self.session.noisy())
+            self.peer.account.heard(
+                self.record, self.loop.now(), self.session.take_control_frame_count()
+            )
             for event in events:
                 self.handle(event)
             self.push()
             self.flush()
-            if len(self.session.out) > MAX_UNSENT:
+            if len(self.session.send_buffer) > MAX_UNSENT:
                 raise MalformedMessageError(502, "it reads nothing of what it asks for")
             self.peer.work()
 
@@ -104,7 +106,7 @@
         if self.socket is None:
             return  # it is being dialled: run() ends it
         if not error:
-            self.session.goodbye()
+            self.session.send_goaway()
         self.send_last()
         self.socket.close()  # this wakes run(), which gives it back to the pool
 
@@ -131,10 +133,10 @@
         account = self.peer.account
         now = self.loop.now()
         match event:
-            case wire.Ready(limit):
+            case wire.SettingsReceived(limit):
                 account.ready(self.record, limit, now)
                 self.log(f"http2-ready engine={self.peer.endpoint} streams={self.record.limit}")
-            case wire.Limit(limit):
+            case wire.StreamLimitChanged(limit):
                 account.limited(self.record, limit)
                 self.log(
                     f"http2-limit engine={self.peer.endpoint} streams={self.record.limit} "
@@ -147,14 +149,14 @@
                 )
                 account.goaway(self.record, last_id, code, now)
             case wire.Reset(number, code):
-                account.reset(self.record, number, code == wire.REFUSED, now)
-            case wire.Window():
+                account.reset(self.record, number, code == wire.REFUSED_STREAM, now)
+            case wire.WindowUpdated():
                 pass  # push() follows
             case _:
                 self.handle_part(event, now)
 
     def handle_part(
-        self, event: wire.Answered | wire.Data | wire.Trailers | wire.Ended, now: int
+        self, event: wire.ResponseHead | wire.Data | wire.Trailers | wire.Ended, now: int
     ) -> None:
         """Hand a part of a response to its stream; one that nobody waits for is discarded."""
         stream = self.streams.get(event.stream)
@@ -165,7 +167,7 @@
                 self.drop(stream, complete=not stream.body)
             stream.add(event)
         elif isinstance(event, wire.Data):
-            self.session.took(event.stream, event.counted)
+            self.session.acknowledge_data(event.stream, event.flow_controlled_bytes)
 
     def drop(self, stream: Stream, complete: bool = False) -> None:
         """Remove a stream; reset it, unless it is complete."""
@@ -182,7 +184,7 @@
         stream.connection = self
         request = stream.request
         authority = str(self.peer.endpoint)
-        number = self.session.open(
+        number = self.session.send_head(
             request.method, request.target, authority, request.headers(), stream.size
         )
         self.peer.account.begun(stream.ticket, number)
@@ -197,7 +199,7 @@
     def push(self) -> None:
         """Write of the bodies what the server's windows allow, a piece of each in turn."""
         moved = True
-        while moved and self.bodies and len(self.session.out) < MAX_PENDING:
+        while moved and self.bodies and len(self.session.send_buffer) < MAX_PENDING:
             moved = False
             for stream in list(self.bodies.values()):
                 moved = self.push_piece(stream) or moved
@@ -205,14 +207,14 @@
     def push_piece(self, stream: Stream) -> bool:
         """Write a piece of a body; return whether the windows allowed any."""
         number = stream.number
-        size = min(self.session.room(number), wire.MAX_FRAME, len(stream.body))
+        size = min(self.session.send_window(number), wire.MAX_FRAME, len(stream.body))
         if not size:
             stream.stalled = stream.stalled or self.loop.now()
             self.peer.client.hurry()
             return False
         stream.stalled = 0
         is_last = size == len(stream.body)
-        self.session.body(number, stream.body[:size], is_last)
+        self.session.send_body(number, stream.body[:size], is_last)
         stream.body = stream.body[size:]
         if is_last:
             del self.bodies[number]
@@ -234,9 +236,9 @@
                     self.peer.account.set_blocked(self.record, True)
                     self.loop.spawn(self.write, self.socket)
                     return
-                for number in self.session.wrote(count):
+                for number in self.session.mark_sent(count):
                     self.peer.account.sent(self.record, number)
-                if not self.session.out:
+                if not self.session.send_buffer:
                     self.push()
         except ConnectionClosedError:
             self.socket.close()  # run() sees it
--- a/claycross/upstream/http2_stream.py
+++ b/claycross/upstream/http2_stream.py
@@ -117,7 +117,9 @@
             and len(last.data) < MERGE_LIMIT
         ):
             self.parts[-1] = wire.Data(
-                part.stream, last.data + part.data, last.counted + part.counted
+                part.stream,
+                last.data + part.data,
+                last.flow_controlled_bytes + part.flow_controlled_bytes,
             )
         else:
             self.parts.append(part)
@@ -133,7 +135,7 @@
     def took(self, counted: int) -> None:
         """Return bytes of the window to the server, as they have been consumed."""
         if self.connection and not self.connection.closed:
-            self.connection.session.took(self.number, counted)
+            self.connection.session.acknowledge_data(self.number, counted)
             self.connection.flush()
 
     def leave(self) -> bool:
--- a/tests/frontends/test_pipelining.py
+++ b/tests/frontends/test_pipelining.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from claycross.net.receive_timestamps import MAX_MARKS, ReceiveTimestamps
+from claycross.net.receive_timestamps import MAX_RECORDS, ReceiveTimestamps
 from standins.servers import Engine, eventually, passes
 
 
@@ -114,6 +114,6 @@
 
 def test_many_small_reads_are_bounded_and_count_as_older():
     times = ReceiveTimestamps()
-    for at in range(1, 3 * MAX_MARKS):
+    for at in range(1, 3 * MAX_RECORDS):
         times.add(1, at)
-    assert len(times.marks) == MAX_MARKS and times.oldest(1) <= MAX_MARKS
+    assert len(times.records) == MAX_RECORDS and times.oldest(1) <= MAX_RECORDS
