--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -4,7 +4,7 @@
 
 from claycross.fleet.load_gossip import LoadGossip
 from claycross.interface import EngineRole, LoadReport, RequestArrived, RequestClass
-from claycross.routing.admission import AdmissionControl, ReadVerdict
+from claycross.routing.admission import AdmissionControl, ReadDecision
 from claycross.routing.engine import Engine
 from claycross.routing.latency_prediction import LatencyPredictor
 from claycross.routing.load_estimation import MAX_WRITER_MEMORY_SHARE, LoadEstimator
@@ -76,24 +76,24 @@
 @pytest.mark.parametrize(
     ("tokens_ahead", "latency", "verdict"),
     [
-        (0.0, 60 * SECOND, ReadVerdict.START),  # an idle reader always takes one
-        (100.0, SECOND, ReadVerdict.START),
-        (100.0, 1.5 * SECOND, ReadVerdict.WAIT),  # late only if predictions err as they may
-        (100.0, 3 * SECOND, ReadVerdict.SHED),
+        (0.0, 60 * SECOND, ReadDecision.START),  # an idle reader always takes one
+        (100.0, SECOND, ReadDecision.START),
+        (100.0, 1.5 * SECOND, ReadDecision.WAIT),  # late only if predictions err as they may
+        (100.0, 3 * SECOND, ReadDecision.SHED),
     ],
 )
 def test_a_read_starts_waits_or_is_shed_by_its_predicted_latency(
     admission, tokens_ahead, latency, verdict
 ):
     reader = admission.health.engines["r1"]
-    reader.reading = tokens_ahead
+    reader.reading_tokens = tokens_ahead
     admission.predictor.error_quantiles = [1.0, 1.5]
-    assert admission.judge_read(new_request(1), reader, latency, NOW) is verdict
+    assert admission.decide_read(new_request(1), reader, latency, NOW) is verdict
 
 
 def test_only_classes_that_value_late_answers_get_an_idle_reader_when_late(admission):
     idle, busy = admission.health.engines["r1"], Engine(entry("r3"), EngineRole.READER, MEMORY)
-    busy.reading = 100.0
+    busy.reading_tokens = 100.0
     lenient = RequestClass("class", 2 * SECOND, 6 * SECOND, late_weight=0.3)
     strict = RequestClass("class", 2 * SECOND, 6 * SECOND)
     assert admission.readers_for_late_request(lenient, [busy, idle], NOW) == [idle]
