--- a/claycross/discovery/engine_incarnations.py
+++ b/claycross/discovery/engine_incarnations.py
@@ -1,16 +1,16 @@
 """Incarnations of the engines: when each started, on this process's own clock.
 
-Start times are announced by other machines' wall clocks. Such a time identifies a process: any
-difference, either way, is another incarnation. As evidence of age it counts only as far as this
-gateway's own observations bear it out: an engine that is seen to restart, or that appears later,
-can't have started before discovery last spoke without announcing it, nor before the engine last
-answered as the earlier incarnation. A time that claims far more than that came from a clock that
-was stepped, and the engine counts as starting now; so does one that starts in the future. In the
-first full list after this process's own start nothing else is known, and the announced time is
-believed, except a start in the future.
-
-So no engine is taken for older than can be shown, or warms up for longer than the settings' time
-after it was first seen. No I/O and no clock: times are nanoseconds and come in as arguments.
+Discovery announces start times by other machines' wall clocks. Such a time identifies a process:
+any difference, either way, is another incarnation. As an age it counts only as far as this
+gateway's own observations allow: an engine that restarts, or that appears later, can't have started
+before discovery's previous message, which didn't announce it, nor before the engine last responded
+as the earlier incarnation. A time far before that comes from a clock that was stepped, and the
+engine counts as starting now, as does one that starts in the future. In the first full list after
+this process's own start there are no observations, and the announced time is accepted unless it is
+in the future.
+
+So no engine is taken for older than it can be, or warms up for longer than the settings' time after
+it was first seen. No I/O and no clock: times are nanoseconds and come in as arguments.
 """
 
 from __future__ import annotations
@@ -22,69 +22,73 @@
 
 SECOND = 1_000_000_000  # nanoseconds in a second
 MS = 1_000_000  # nanoseconds in a millisecond
-ANNOUNCEMENT_DELAY = 6 * SECOND  # by which a change may be late: no claim beyond is believed
-MAX_REMOVED = 4_096  # engines that left the list and are remembered
+ANNOUNCEMENT_DELAY_NS = 6 * SECOND  # a change is announced this much late at most
+MAX_REMOVED = 4_096  # engines that left the list and are kept
 LONG_AGO = 0  # as `EngineEndpoint.started_at`
 NOT_ANNOUNCED = 0  # as `EngineEndpoint.incarnation`
-UNKNOWN = -1  # as `EngineEndpoint.incarnation`: announced, but not a possible time
+UNKNOWN = -1  # as `EngineEndpoint.incarnation`: announced, but no possible time
 
 
 @dataclass(slots=True)
 class Incarnation:
-    """What is known of one engine's process."""
+    """One process of an engine."""
 
-    identity: int  # the start time as it was announced
+    identity: int  # the start time as announced
     started_at: int  # on this process's clock, or LONG_AGO
 
 
-def never_answered(_engine: str) -> int:
-    """The time of an engine's last answer, where none is recorded."""
+def never_responded(_engine: str) -> int:
+    """Return 0, where no responses are recorded."""
     return 0
 
 
 class EngineIncarnations:
-    """The incarnations of all engines that are listed, and of some that were.
+    """The incarnations of all engines in the list, and of some that were removed from it.
 
-    `answered` returns when an engine last answered this gateway; 0 for never.
+    `last_response` returns when an engine last responded to this gateway; 0 for never.
     """
 
-    def __init__(self, answered: Callable[[str], int] = never_answered):
-        self.last_response = answered
+    def __init__(self, last_response: Callable[[str], int] = never_responded):
+        self.last_response = last_response
         self.listed: dict[str, Incarnation] = {}
         self.removed: dict[str, Incarnation] = {}
-        self.implausible = 0  # announced times that were not believed
-        self.log_messages: list[str] = []  # of them; taken by the caller
+        self.implausible = 0  # announced start times that were rejected
+        self.log_messages: list[str] = []  # the caller logs and clears them
 
     def apply(
-        self, found: EndpointListUpdate, now: int, wall: int, word_before: int
+        self, update: EndpointListUpdate, now: int, wall_time: int, previous_message_at: int
     ) -> EndpointListUpdate:
-        """The update with each engine's start on this process's clock.
-
-        `wall` is the Unix time now, `word_before` when discovery spoke last before this update; 0
-        if it had not.
+        """Return the update with each engine's start on this process's clock.
+
+        Args:
+            update: The update as discovery announced it.
+            now: The time on this process's clock.
+            wall_time: The Unix time.
+            previous_message_at: When discovery's message before this update came; 0: it is the
+                first.
         """
-        if found.kind == UpdateKind.FAILED:
-            return found
-        before = self.listed
-        if found.kind != UpdateKind.CHANGES:
-            before = dict(self.listed)
-            self.remove(set(self.listed) - {entry.engine for entry in found.entries})
+        if update.kind == UpdateKind.FAILED:
+            return update
+        listed_before = self.listed
+        if update.kind != UpdateKind.CHANGES:
+            listed_before = dict(self.listed)
+            self.remove(set(self.listed) - {entry.engine for entry in update.entries})
         entries = []
-        for entry in found.entries:
+        for entry in update.entries:
             if entry.state == EngineState.REMOVED:
                 self.remove({entry.engine})
                 entries.append(entry)
                 continue
-            known = before.get(entry.engine) or self.removed.pop(entry.engine, None)
-            incarnation = self.incarnation_of(entry, known, now, wall, word_before)
+            known = listed_before.get(entry.engine) or self.removed.pop(entry.engine, None)
+            incarnation = self.incarnation_of(entry, known, now, wall_time, previous_message_at)
             self.listed[entry.engine] = incarnation
             entries.append(
                 entry.copy(started_at=incarnation.started_at, incarnation=incarnation.identity)
             )
-        return EndpointListUpdate(found.kind, entries)
+        return EndpointListUpdate(update.kind, entries)
 
     def remove(self, engines: set[str]) -> None:
-        """They are listed no longer; their identities are remembered for a while."""
+        """Move engines from the list to those removed; the oldest of these are forgotten."""
         for engine in sorted(engines & self.listed.keys()):
             self.removed[engine] = self.listed.pop(engine)
         while len(self.removed) > MAX_REMOVED:
@@ -96,33 +100,36 @@
         entry: EngineEndpoint,
         known: Incarnation | None,
         now: int,
-        wall: int,
-        word_before: int,
+        wall_time: int,
+        previous_message_at: int,
     ) -> Incarnation:
-        """What is believed of one entry, given the incarnation known before."""
+        """Return the incarnation of one entry, given the one that was known before."""
         identity = entry.incarnation
+        # A missing or impossible time is no evidence of a restart.
         if known and identity in (known.identity, NOT_ANNOUNCED, UNKNOWN):
-            return known  # the same process, or nothing that says otherwise
+            return known
         if identity == UNKNOWN:
             return Incarnation(identity, self.reject_start(entry, now, "no time"))
         if identity == NOT_ANNOUNCED:
             return Incarnation(identity, LONG_AGO)
-        started_at = self.announced_start(entry, now, wall - identity, word_before)
+        started_at = self.announced_start(entry, now, wall_time - identity, previous_message_at)
         return Incarnation(identity, started_at)
 
-    def announced_start(self, entry: EngineEndpoint, now: int, age: int, word_before: int) -> int:
-        """The start on this process's clock of a new incarnation of that announced age."""
-        if not word_before:
+    def announced_start(
+        self, entry: EngineEndpoint, now: int, age: int, previous_message_at: int
+    ) -> int:
+        """Return the start, on this process's clock, of a new incarnation of that announced age."""
+        if not previous_message_at:
             return now - age if age >= 0 else self.reject_start(entry, now, "in the future")
-        max_age = now - max(word_before, self.last_response(entry.engine))
-        if age < 0 or age > max_age + ANNOUNCEMENT_DELAY:
+        max_age = now - max(previous_message_at, self.last_response(entry.engine))
+        if age < 0 or age > max_age + ANNOUNCEMENT_DELAY_NS:
             return self.reject_start(entry, now, f"age_ms={age // MS}")
         return now - min(age, max_age)
 
-    def reject_start(self, entry: EngineEndpoint, now: int, why: str) -> int:
-        """The engine counts as starting now, and the reason is logged once per announcement."""
+    def reject_start(self, entry: EngineEndpoint, now: int, reason: str) -> int:
+        """Return `now` as the start, and log why the announced one was rejected."""
         self.implausible += 1
         self.log_messages.append(
-            f"engine-start-implausible engine={entry.engine} boot={entry.incarnation} why={why}"
+            f"engine-start-implausible engine={entry.engine} boot={entry.incarnation} why={reason}"
         )
         return now
--- a/claycross/discovery/etcd.py
+++ b/claycross/discovery/etcd.py
@@ -1,6 +1,6 @@
 """The endpoint list from etcd, one key for each engine, over etcd's JSON gateway.
 
-The list is kept while etcd is silent, and read anew when its revision was compacted away.
+The list is kept while etcd is silent, and read again when its revision was compacted away.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 from ..config.settings import EtcdConfig
 from ..net.address import Address
 from ..net.loop import SECOND, ConnectionClosedError, EventLoop
-from .watch import BACK_OFF, DiscoveryDataError, DiscoveryWatch, ListTaker
+from .watch import DiscoveryDataError, DiscoveryWatch, EndpointListener
+
+# etcd sends nothing while nothing changes, so only a long silence shows a dead connection.
+IDLE_TIMEOUT_NS = 10 * SECOND
 
 
 class EtcdWatch(DiscoveryWatch):
@@ -23,22 +26,24 @@
     that was compacted away, or that has been silent for long, starts again with the list.
     """
 
-    # etcd sends nothing while nothing changes, so only silence shows a dead connection.
-    quiet = 10 * SECOND
-    first_word = quiet
+    idle_timeout = IDLE_TIMEOUT_NS
+    min_first_response_timeout = IDLE_TIMEOUT_NS
 
     def __init__(
-        self, loop: EventLoop, source: EtcdConfig, told: list[ListTaker], log: Callable[[str], None]
+        self,
+        loop: EventLoop,
+        config: EtcdConfig,
+        listeners: list[EndpointListener],
+        log: Callable[[str], None],
     ):
-        super().__init__(loop, source.address, told, log)
-        start = source.prefix.encode()
-        self.prefix = start
+        super().__init__(loop, config.address, listeners, log)
+        self.prefix = config.prefix.encode()
         # The address and revision of the list that was published last.
-        self.listed_at: tuple[Address, int] | None = None
-        self.keys = {"key": encode(start), "range_end": encode(after(start))}
+        self.published: tuple[Address, int] | None = None
+        self.keys = {"key": encode(self.prefix), "range_end": encode(range_end(self.prefix))}
 
     def watch(self) -> None:
-        """Reads the list and follows its changes; always ends in an exception."""
+        """Read the list and follow its changes, which always ends in an exception."""
         address = self.address
         revision = self.read_list(address)
         create = {**self.keys, "start_revision": str(revision + 1)}
@@ -48,30 +53,29 @@
         raise ConnectionClosedError("the watch ended")
 
     def read_list(self, address: Address) -> int:
-        """Reads the full list and publishes it unless it is known; returns its revision."""
+        """Read the full list and publish it unless it is known; return its revision."""
         body = json.dumps(self.keys).encode()
-        text = b"".join(self.values("POST", "/v3/kv/range", body))
+        response = b"".join(self.values("POST", "/v3/kv/range", body))
         try:
-            found = json.loads(text)
-            revision = int(found["header"]["revision"])
-            targets = [self.target(kv) for kv in found.get("kvs") or []]
+            key_range = json.loads(response)
+            revision = int(key_range["header"]["revision"])
+            targets = [self.target(kv) for kv in key_range.get("kvs") or []]
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             raise DiscoveryDataError(f"list: {type(err).__name__} {err}") from None
-        if (address, revision) != self.listed_at:
+        if (address, revision) != self.published:
             self.take({"rev": revision, "all": True, "targets": targets}, address)
-            self.listed_at = address, revision
-        self.back_off = BACK_OFF
-        self.failed = 0
+            self.published = address, revision
+        self.reset_back_off()
         return revision
 
     def read(self, value: bytes, address: Address) -> None:
-        """Publishes the changes in one response of the watch."""
+        """Publish the changes in one response of the watch."""
         if not value:
             return
         try:
             result = json.loads(value)["result"]
             if result.get("canceled"):
-                self.listed_at = None
+                self.published = None
                 raise ConnectionClosedError(
                     f"etcd ended the watch, compacted at {result.get('compact_revision')}"
                 )
@@ -79,12 +83,12 @@
             targets = [self.target(event["kv"], event.get("type") == "DELETE") for event in events]
             if targets:
                 self.take({"rev": int(result["header"]["revision"]), "targets": targets}, address)
-                self.listed_at = address, self.version
+                self.published = address, self.version
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             raise DiscoveryDataError(f"watch: {type(err).__name__} {err}") from None
 
     def target(self, kv: dict[str, str], deleted: bool = False) -> dict[str, Any]:
-        """The entry that one key and its value stand for."""
+        """Return one key and its value as an entry of the endpoint list."""
         uid = base64.b64decode(kv["key"], validate=True).removeprefix(self.prefix).decode()
         if deleted:
             return {"uid": uid, "state": "Gone"}
@@ -92,12 +96,12 @@
 
 
 def encode(data: bytes) -> str:
-    """Base64, as etcd's JSON gateway takes keys."""
+    """Encode bytes as base64, as etcd's JSON gateway takes keys."""
     return base64.b64encode(data).decode()
 
 
-def after(prefix: bytes) -> bytes:
-    """The first key after those that begin with the prefix: the end of an etcd range.
+def range_end(prefix: bytes) -> bytes:
+    """Return the first key after those that begin with the prefix: the end of an etcd range.
 
     A zero byte stands for the end of all keys.
     """
--- a/claycross/discovery/watch.py
+++ b/claycross/discovery/watch.py
@@ -1,17 +1,17 @@
-"""The list of engines: first as it was last known, then as a watch on the platform's discovery
-tells it.
-
-Owns the reading of discovery's messages, each watch from its dial to its end (docs/lifecycles.md),
-the reconnecting, and the move to another address on reload. It must never drop the list it has
-because discovery is silent, let go of an address that still tells before the next one does, carry a
-revision from one address to another, or let junk from there become more than a logged retry.
-
-What discovery has counts as told 6 s after it had it, whether it arrived or not. A watch that falls
-silent is given up QUIET after its last whole word, one that says nothing at all after FIRST_WORD;
-with the pauses and a dial between them, a first watch that falls silent and a second that never
-speaks leave time for a third. A discovery that is slower than FIRST_WORD is told from a silent one
-by the watches that were given up: they are listened to for a while longer, and the first word's
-time is what the next ones are given.
+"""The endpoint list: first as it was saved, then as a watch on the platform's discovery reports it.
+
+This module parses discovery's messages, runs each watch from its connection to its end
+(docs/lifecycles.md), reconnects, and moves to another address on reload. It keeps four rules: the
+list is never dropped because discovery is silent; an address is watched until the next one has sent
+a value; a revision is valid only at the address that reported it; and invalid data leads to a
+logged retry, never to more.
+
+A change counts as delivered 6 s after discovery had it, whether it arrived or not. A watch is
+closed IDLE_TIMEOUT_NS after its last complete value, and one that sends nothing at all after the
+first response timeout. With the back-off and a connect between them, a first watch that falls
+silent and a second that never responds leave time for a third. To tell a slow discovery from a
+silent one, a watch that timed out before its first response is read for a while longer: if the
+response does come, its delay extends the first response timeout of the next watches.
 """
 
 from __future__ import annotations
@@ -20,318 +20,403 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
-from .. import interface as i
+from ..interface import EndpointListUpdate, EngineEndpoint, EngineState, UpdateKind
 from ..net.address import Address, Endpoint
 from ..net.http1 import Body, End, Head, MalformedMessageError, MessageParser, encode_request
 from ..net.line_protocol import JsonValueParser, LineTooLongError
 from ..net.loop import MS, SECOND, Connection, ConnectionClosedError, EventLoop, TimeoutExpired
-from .engine_incarnations import UNKNOWN
-
-ListTaker = Callable[[i.EndpointListUpdate, dict[str, Endpoint]], None]
-DIAL, BACK_OFF, LONGEST_BACK_OFF = SECOND, 100 * MS, SECOND
-QUIET, FIRST_WORD = 3 * SECOND, SECOND  # a watch says something every 2 s, and answers at once
-LATEST_FIRST_WORD, FIRST_WORD_MARGIN = (
-    3 * SECOND,
-    2,
-)  # the most waited for; times the last that was seen
-LOGGED = (
-    10  # of tries that fail one after the other, the first and every such one is a line in the log
-)
-MAX_LINE = 4 << 20
-LARGE_LIST = 500  # entries that are read in one turn of the loop and told in the next
-LATEST_BOOT = 10**14  # ms of Unix time: no start lies beyond the year 5138
-STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
+from .engine_incarnations import NOT_ANNOUNCED, UNKNOWN
+
+EndpointListener = Callable[[EndpointListUpdate, dict[str, Endpoint]], None]
+
+CONNECT_TIMEOUT_NS = SECOND
+MIN_BACK_OFF_NS = 100 * MS
+MAX_BACK_OFF_NS = SECOND
+IDLE_TIMEOUT_NS = 3 * SECOND  # discovery sends at least a blank line every 2 s
+FIRST_RESPONSE_TIMEOUT_NS = SECOND  # discovery usually responds at once
+MAX_FIRST_RESPONSE_TIMEOUT_NS = 3 * SECOND
+FIRST_RESPONSE_MARGIN = 2  # factor from the last first response's delay to the next timeout
+FAILURES_PER_LOG_LINE = 10  # of failures in a row, the first and then every tenth are logged
+MAX_VALUE_BYTES = 4 << 20
+MAX_RESPONSE_BYTES = 1 << 62  # a watch's response has no end
+# A list of more entries is parsed in one iteration of the event loop and applied in the next.
+LARGE_LIST_ENTRIES = 500
+MAX_BOOT_MS = 10**14  # Unix time in the year 5138: no later start time is valid
+STATES = {
+    "Ready": EngineState.READY,
+    "Terminating": EngineState.DRAINING,
+    "Gone": EngineState.REMOVED,
+}
 
 
 class DiscoveryDataError(Exception):
-    """What discovery says can't be understood."""
+    """Discovery sent data that can't be parsed."""
 
 
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+# What parsing raises where JSON has other types or values than expected.
+PARSE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class DiscoveryMessage(NamedTuple):
-    """One message of discovery: its version, the entries, where each engine listens, and what of it
-    could not be read; blank: all could.
-    """
+    """One parsed message of discovery."""
 
     version: int
-    update: i.EndpointListUpdate
-    endpoints: dict[str, Endpoint]
-    error: str = ""
+    update: EndpointListUpdate
+    endpoints: dict[str, Endpoint]  # engine -> where it listens
+    error: str = ""  # why some entries could not be parsed; empty: all were
+
 
+def read_targets(message: Any, kind: UpdateKind | None = None) -> DiscoveryMessage:
+    """Parse a message; an entry that can't be parsed is left out and reported in `error`.
 
-def read_targets(message: Any, kind: str = "") -> DiscoveryMessage:
-    """An entry that can't be read takes none of the others with it."""
-    entries, endpoints, junk, unread = [], {}, "", 0
+    Raises:
+        DiscoveryDataError: If the message as a whole can't be parsed.
+    """
+    entries = []
+    endpoints = {}
+    errors = []
     try:
-        version, targets = int(message["rev"]), list(message["targets"])
-        kind = kind or ("full" if message.get("all") else "changes")
-    except UNREADABLE as err:
+        version = int(message["rev"])
+        targets = list(message["targets"])
+        if kind is None:
+            kind = UpdateKind.FULL if message.get("all") else UpdateKind.CHANGES
+    except PARSE_ERRORS as err:
         raise DiscoveryDataError(f"{type(err).__name__} {err}") from None
     for target in targets:
         try:
             entry, endpoint = read_target(target)
-        except (*UNREADABLE, DiscoveryDataError) as err:
-            junk, unread = junk or f"{type(err).__name__} {err}", unread + 1
+        except (*PARSE_ERRORS, DiscoveryDataError) as err:
+            errors.append(f"{type(err).__name__} {err}")
             continue
         entries.append(entry)
         if endpoint:
             endpoints[entry.engine] = endpoint
-    if unread > 1:
-        junk = f"{junk} (the first of {unread} such entries)"
-    return DiscoveryMessage(version, i.EndpointListUpdate(kind, entries), endpoints, junk)
+    error = errors[0] if errors else ""
+    if len(errors) > 1:
+        error = f"{error} (the first of {len(errors)} invalid entries)"
+    return DiscoveryMessage(version, EndpointListUpdate(kind, entries), endpoints, error)
 
 
-def read_target(t: Any) -> tuple[i.EngineEndpoint, Endpoint | None]:
-    uid, state, endpoint = str(t["uid"]), STATES.get(t["state"]), None
+def read_target(target: Any) -> tuple[EngineEndpoint, Endpoint | None]:
+    """Parse one entry; an engine that is removed has no endpoint."""
+    engine = str(target["uid"])
+    state = STATES.get(target["state"])
     if state is None:
-        raise DiscoveryDataError(f"state {t['state']!r} is not known")
-    boot = read_boot(t.get("boot_ms"))
-    if state != "gone":
-        host, _, port = str(t["endpoint"]).rpartition(":")
-        endpoint = Endpoint(host, int(port), str(t.get("protocol") or ""), boot)
-    return i.EngineEndpoint(
-        uid,
-        str(t.get("model", "")),
+        raise DiscoveryDataError(f"state {target['state']!r} is not known")
+    boot = read_boot(target.get("boot_ms"))
+    endpoint = None
+    if state != EngineState.REMOVED:
+        host, _, port = str(target["endpoint"]).rpartition(":")
+        endpoint = Endpoint(host, int(port), str(target.get("protocol") or ""), boot)
+    entry = EngineEndpoint(
+        engine,
+        str(target.get("model", "")),
         state,
-        str(t.get("az", "")),
-        int(t.get("pod_group") or 0),
-        size=float(t.get("capacity_hint") or 1),
+        str(target.get("az", "")),
+        int(target.get("pod_group") or 0),
+        size=float(target.get("capacity_hint") or 1),
         incarnation=boot,
-    ), endpoint
+    )
+    return entry, endpoint
+
 
+def read_boot(boot_ms: Any) -> int:
+    """Return a start time in nanoseconds of Unix time.
 
-def read_boot(told: Any) -> int:
-    """A start as it is told, in nanoseconds: 0 for long ago or missing, UNKNOWN for what is no
-    time.
+    NOT_ANNOUNCED (0) where it is missing, UNKNOWN where the number is no possible time. Text that
+    is not a number makes the whole entry invalid.
     """
-    if told is None:
-        return 0
-    number = float(told)  # text that is no number spoils the entry
-    if not (0 <= number <= LATEST_BOOT and number == int(number)):
+    if boot_ms is None:
+        return NOT_ANNOUNCED
+    number = float(boot_ms)
+    if not (0 <= number <= MAX_BOOT_MS and number == int(number)):
         return UNKNOWN
-    return int(told) * MS
+    return int(boot_ms) * MS
 
 
-class FirstWord:
-    """How long a watch is given for its first word: `least`, or some times what the last one
-    took.
+class FirstResponseTimeout:
+    """How long a watch may take for its first response, adapted to the delay of the last one.
+
+    Times are nanoseconds; `current` stays between `minimum` and `maximum`.
     """
 
-    def __init__(self, least: int, most: int):
-        self.least, self.most, self.span = least, max(least, most), least
+    def __init__(self, minimum: int, maximum: int):
+        self.minimum = minimum
+        self.maximum = max(minimum, maximum)
+        self.current = minimum
 
-    def seen(self, took: int) -> None:
-        """A first word came so long after it was asked for, be it on a watch that was given up."""
-        self.span = min(self.most, max(self.least, FIRST_WORD_MARGIN * took))
+    def record(self, delay: int) -> None:
+        """Adapt to a first response, which may have come after its watch had timed out."""
+        self.current = min(self.maximum, max(self.minimum, FIRST_RESPONSE_MARGIN * delay))
 
 
-class ValueFeed:
-    """The values in the bytes of one HTTP answer; Junk where it is no answer, or not the one asked
-    for.
-    """
+class ResponseParser:
+    """Parses the JSON values in the body of one HTTP response."""
 
     def __init__(self) -> None:
-        self.messages = MessageParser(responses=True, max_body=1 << 62, max_chunk=MAX_LINE)
-        self.values = JsonValueParser(MAX_LINE)
-        self.ended = False  # the answer is whole
+        self.messages = MessageParser(
+            responses=True, max_body=MAX_RESPONSE_BYTES, max_chunk=MAX_VALUE_BYTES
+        )
+        self.values = JsonValueParser(MAX_VALUE_BYTES)
+        self.is_complete = False
 
-    def take(self, data: bytes) -> list[bytes]:
-        """The values that these bytes complete."""
-        found: list[bytes] = []
+    def feed(self, data: bytes) -> list[bytes]:
+        """Add bytes; return the values that they complete, b"" for a blank line between two.
+
+        Raises:
+            DiscoveryDataError: If this is no valid response, or its status is not 200.
+        """
+        values: list[bytes] = []
         try:
             for part in self.messages.feed(data):
                 if isinstance(part, Head) and part.status != 200:
                     raise DiscoveryDataError(f"status {part.status}")
                 if isinstance(part, Body):
-                    found += self.values.feed(part.data)
+                    values += self.values.feed(part.data)
                 if isinstance(part, End):
-                    found.append(self.values.end())
-                    self.ended = True
+                    values.append(self.values.end())
+                    self.is_complete = True
         except (LineTooLongError, MalformedMessageError) as err:
             raise DiscoveryDataError(str(err)) from None
-        return found
+        return values
 
 
 class DiscoveryWatch:
-    """Watches the platform's discovery, for ever (or, asked once, until the watch breaks)."""
+    """Watches the platform's discovery and passes each update to all listeners.
+
+    Args:
+        loop: The event loop.
+        address: The address of discovery.
+        listeners: Called with each update and with the addresses of its engines.
+        log: Writes a line to the log.
+        connect_timeout: Nanoseconds for a connect; a change made meanwhile arrives late.
+        max_back_off: Nanoseconds between two watches at most; the same.
+    """
 
-    quiet, first_word = QUIET, FIRST_WORD
+    idle_timeout = IDLE_TIMEOUT_NS
+    min_first_response_timeout = FIRST_RESPONSE_TIMEOUT_NS
 
     def __init__(
         self,
         loop: EventLoop,
         address: Address,
-        told: list[ListTaker],
+        listeners: list[EndpointListener],
         log: Callable[[str], None],
-        dial: int = DIAL,
-        longest: int = LONGEST_BACK_OFF,
+        connect_timeout: int = CONNECT_TIMEOUT_NS,
+        max_back_off: int = MAX_BACK_OFF_NS,
     ):
-        self.loop, self.address, self.listeners, self.log = loop, address, told, log
-        self.dial, self.longest = (
-            dial,
-            longest,
-        )  # of a try, and between two: what is told meanwhile is late
-        self.version, self.told_by = 0, address  # of the list, and whose version that is
-        self.back_off, self.failed = min(BACK_OFF, longest), 0
-        self.last_word_at = self.previous_message_at = (
-            0  # when discovery last spoke, and when before that
-        )
-        self.generation = self.heard = (
-            0  # moves to another address so far, and the last that has told something
+        self.loop = loop
+        self.address = address
+        self.listeners = listeners
+        self.log = log
+        self.connect_timeout = connect_timeout
+        self.max_back_off = max_back_off
+        self.version = 0  # of the list
+        self.version_source = address  # the address that reported this version
+        self.failures = 0  # in a row
+        self.back_off = 0
+        self.reset_back_off()
+        self.last_message_at = 0  # 0: discovery has sent nothing yet
+        self.previous_message_at = 0  # when the message before the last one came
+        self.generation = 0  # counts the moves to another address
+        self.latest_responding = 0  # the latest generation whose watch has sent a value
+        # By generation: two while a move is under way.
+        self.connections: dict[int, Connection] = {}
+        self.polled_generation = -1  # the generation in which a poll is under way; -1: none is
+        self.first_response_timeout = FirstResponseTimeout(
+            self.min_first_response_timeout, MAX_FIRST_RESPONSE_TIMEOUT_NS
         )
-        self.conns: dict[int, Connection] = {}  # by turn: two while a move is on
-        self.asking = -1  # the turn in which the module's watch is under way
-        self.first_word_wait = FirstWord(self.first_word, LATEST_FIRST_WORD)
-
-    def start_from(self, known: Any) -> None:
-        """The list as this gateway had it last."""
-        if not known:
-            known = {"rev": 0, "targets": []}
+
+    def reset_back_off(self) -> None:
+        """Go back to the shortest wait between two watches."""
+        self.back_off = min(MIN_BACK_OFF_NS, self.max_back_off)
+        self.failures = 0
+
+    def start_from(self, saved_list: Any) -> None:
+        """Publish the list that was saved last, or an empty one if it can't be parsed."""
+        if not saved_list:
+            saved_list = {"rev": 0, "targets": []}
         try:
-            told = read_targets(known, "saved")
+            message = read_targets(saved_list, UpdateKind.SAVED)
         except DiscoveryDataError as err:
-            told = DiscoveryMessage(0, i.EndpointListUpdate("saved"), {}, str(err))
-        if told.error:
-            self.log(f"discovery-invalid source=known {told.error}")
-        self.version = 0 if told.error else told.version  # what could not be read is asked for anew
-        self.notify(told.update, told.endpoints)
-
-    def notify(self, found: i.EndpointListUpdate, endpoints: dict[str, Endpoint]) -> None:
-        for told in self.listeners:
-            told(found, endpoints)
+            message = DiscoveryMessage(0, EndpointListUpdate(UpdateKind.SAVED), {}, str(err))
+        if message.error:
+            self.log(f"discovery-invalid source=known {message.error}")
+        # Where some of it could not be parsed, the full list is requested.
+        self.version = 0 if message.error else message.version
+        self.notify(message.update, message.endpoints)
+
+    def notify(self, update: EndpointListUpdate, endpoints: dict[str, Endpoint]) -> None:
+        """Pass an update to all listeners."""
+        for listener in self.listeners:
+            listener(update, endpoints)
 
     def watch_for_ever(self) -> None:
-        turn = self.generation
-        while turn == self.generation:
+        """Watch again and again, until discovery's address changes."""
+        generation = self.generation
+        while generation == self.generation:
             try:
                 self.watch()
             except (ConnectionClosedError, MalformedMessageError, DiscoveryDataError) as err:
-                if turn != self.generation:
+                if generation != self.generation:
                     return
-                if self.failed % LOGGED == 0:
+                if self.failures % FAILURES_PER_LOG_LINE == 0:
                     self.log(
                         f"discovery-lost rev={self.version} wait_ms={self.back_off // MS} "
-                        f"tries={self.failed + 1} {err}"
+                        f"tries={self.failures + 1} {err}"
                     )
-                self.failed += 1
+                self.failures += 1
             self.loop.sleep(self.back_off)
-            self.back_off = min(2 * self.back_off, self.longest)
+            self.back_off = min(2 * self.back_off, self.max_back_off)
 
-    def watch_once(self, lost: Callable[[], None]) -> None:
-        """For deployments in which the module asks: it hears of the end of its watch and asks
-        again.
-        """
-        if self.asking == self.generation:
+    def watch_once(self, ended: Callable[[], None]) -> None:
+        """Watch until that ends, and call `ended`, for a chat router that polls for the list."""
+        if self.polled_generation == self.generation:
             return
-        turn = self.asking = self.generation
+        generation = self.generation
+        self.polled_generation = generation
         try:
             self.watch()
         except (ConnectionClosedError, MalformedMessageError, DiscoveryDataError) as err:
-            if turn == self.generation:
+            if generation == self.generation:
                 self.log(f"discovery-lost rev={self.version} {err}")
         finally:
-            if turn == self.generation:
-                self.asking = -1
-                lost()
+            if generation == self.generation:
+                self.polled_generation = -1
+                ended()
 
     def move(self, address: Address) -> bool:
-        """The next watch is at this address; whoever moves it starts that. False: it is there
-        already.
+        """Set another address for the next watch, which the caller starts; False: it is the same.
 
-        The watch at the old address goes on until the new one has told something: nothing is missed
-        between the two, and a new address that does not answer costs nothing while the old one
-        stands.
+        The watch at the old address goes on until the new one has sent a value: no change is missed
+        between the two, and a new address that does not respond costs nothing while the old one
+        does.
         """
         if address == self.address:
             return False
-        self.address, self.back_off, self.failed = address, min(BACK_OFF, self.longest), 0
-        for turn in [t for t in self.conns if t != self.heard]:  # a move that never got so far
-            self.conns[turn].close()
+        self.address = address
+        self.reset_back_off()
+        for generation in list(self.connections):
+            if generation != self.latest_responding:  # an earlier move that got no response
+                self.connections[generation].close()
         self.generation += 1
         return True
 
     def watch(self) -> None:
-        """One watch, until it ends; it always ends in an exception."""
+        """Run one watch until it ends, which is always an exception."""
         address = self.address
-        version = (
-            self.version if self.told_by == address else 0
-        )  # versions of two addresses are two things
-        for value in self.values("GET", f"/api/targets?watch=1&from={version}"):
+        for value in self.values("GET", f"/api/targets?watch=1&from={self.version_at(address)}"):
             self.read(value, address)
         raise ConnectionClosedError("the watch ended")
 
+    def version_at(self, address: Address) -> int:
+        """Return the list's version if that address reported it, else 0."""
+        return self.version if self.version_source == address else 0
+
     def values(self, method: str, target: str, body: bytes = b"") -> Iterator[bytes]:
-        """The values of one answer as they come, on a connection of its own. Only a whole value, or
-        a blank line between two, is a sign of life: bytes that never make one are not.
+        """Send a request on a connection of its own, and yield the values of its response.
+
+        Only a complete value, or a blank line between two, shows that discovery is alive, so that
+        bytes which never make up a value can't hold the watch open.
         """
-        turn, address = self.generation, self.address
-        conn = Connection.dial(self.loop, address, self.dial)
-        feed, given_up = ValueFeed(), False
+        generation = self.generation
+        address = self.address
+        connection = Connection.dial(self.loop, address, self.connect_timeout)
+        parser = ResponseParser()
+        requested_at = 0
+        has_timed_out_early = False
         try:
-            if turn != self.generation:
-                raise ConnectionClosedError("it has moved meanwhile")
-            self.conns[turn] = conn
+            if generation != self.generation:
+                raise ConnectionClosedError("discovery's address has changed")
+            self.connections[generation] = connection
             headers = [("Host", f"{address[0]}:{address[1]}")]
-            conn.send(encode_request(method, target, headers, body), self.dial)
-            asked, heard = self.loop.now(), 0
-            while not feed.ended:
-                until = heard + self.quiet if heard else asked + self.first_word_wait.span
-                if (left := until - self.loop.now()) <= 0:
-                    given_up = not heard
+            request = encode_request(method, target, headers, body)
+            connection.send(request, self.connect_timeout)
+            requested_at = self.loop.now()
+            last_value_at = 0
+            while not parser.is_complete:
+                remaining = self.receive_deadline(requested_at, last_value_at) - self.loop.now()
+                if remaining <= 0:
+                    has_timed_out_early = not last_value_at
                     raise ConnectionClosedError("silent")
-                try:
-                    data = conn.recv(left)
-                except TimeoutExpired:
-                    continue  # what it is given may be longer by now
-                if not data:
-                    raise ConnectionClosedError("the connection ended")
-                if found := feed.take(data):
-                    if not heard:
-                        self.first_word_wait.seen(self.loop.now() - asked)
-                    heard = self.loop.now()
-                    self.previous_message_at, self.last_word_at = self.last_word_at, heard
-                    if any(found):
-                        self.told_something(turn)
-                    yield from found
+                data = self.receive(connection, remaining)
+                values = parser.feed(data) if data else []
+                if values:
+                    if not last_value_at:
+                        self.first_response_timeout.record(self.loop.now() - requested_at)
+                    last_value_at = self.loop.now()
+                    self.record_values(generation, last_value_at, values)
+                    yield from values
         finally:
-            if given_up:
-                self.loop.spawn(self.listen_on, conn, feed, asked)
+            if has_timed_out_early:
+                self.loop.spawn(self.await_late_response, connection, parser, requested_at)
             else:
-                conn.close()
-            if self.conns.get(turn) is conn:
-                del self.conns[turn]
+                connection.close()
+            if self.connections.get(generation) is connection:
+                del self.connections[generation]
+
+    def receive_deadline(self, requested_at: int, last_value_at: int) -> int:
+        """Return when a watch has been silent for too long; the timeout may change meanwhile."""
+        if last_value_at:
+            return last_value_at + self.idle_timeout
+        return requested_at + self.first_response_timeout.current
+
+    def receive(self, connection: Connection, timeout: int) -> bytes:
+        """Return the next bytes, or none if they don't arrive in time.
+
+        Raises:
+            ConnectionClosedError: If the connection has ended.
+        """
+        try:
+            data = connection.recv(timeout)
+        except TimeoutExpired:
+            return b""
+        if not data:
+            raise ConnectionClosedError("the connection ended")
+        return data
 
-    def listen_on(self, conn: Connection, feed: ValueFeed, asked: int) -> None:
-        """Of a watch that was given up before its first word: how late that is, if it comes at
-        all.
+    def record_values(self, generation: int, now: int, values: list[bytes]) -> None:
+        """Record that discovery is alive, and end the watches at earlier addresses.
+
+        Those are kept until this one has sent a value that is not a blank line.
+        """
+        self.previous_message_at = self.last_message_at
+        self.last_message_at = now
+        if any(values) and generation > self.latest_responding:
+            self.latest_responding = generation
+            outdated = [c for number, c in self.connections.items() if number < generation]
+            for connection in outdated:
+                connection.close()
+
+    def await_late_response(
+        self, connection: Connection, parser: ResponseParser, requested_at: int
+    ) -> None:
+        """Read a watch that timed out before its first response, to measure the response's delay.
+
+        It is closed after the longest timeout that a first response can be given.
         """
-        wait = self.first_word_wait
+        timeout = self.first_response_timeout
+        deadline = requested_at + timeout.maximum
         try:
-            while (left := asked + wait.most - self.loop.now()) > 0 and (data := conn.recv(left)):
-                if feed.take(data):
-                    took = self.loop.now() - asked
-                    wait.seen(took)
+            while (remaining := deadline - self.loop.now()) > 0 and (
+                data := connection.recv(remaining)
+            ):
+                if parser.feed(data):
+                    delay = self.loop.now() - requested_at
+                    timeout.record(delay)
                     self.log(
-                        f"discovery-slow first_response_ms={took // MS} "
-                        f"timeout_ms={wait.span // MS}"
+                        f"discovery-slow first_response_ms={delay // MS} "
+                        f"timeout_ms={timeout.current // MS}"
                     )
                     return
         except DiscoveryDataError:
             return
         finally:
-            conn.close()
-
-    def told_something(self, turn: int) -> None:
-        """The watch of that turn speaks: those of earlier addresses have been waited for."""
-        if turn > self.heard:
-            self.heard = turn
-            for old in [c for t, c in self.conns.items() if t < turn]:
-                old.close()
+            connection.close()
 
     def read(self, value: bytes, address: Address) -> None:
-        self.back_off, self.failed = min(BACK_OFF, self.longest), 0
+        """Parse and apply one value of a watch; an empty one only shows that discovery is alive."""
+        self.reset_back_off()
         if not value:
             return
         try:
@@ -341,22 +426,32 @@
         self.take(message, address)
 
     def take(self, message: Any, address: Address) -> None:
-        told = read_targets(message)
-        if (
-            len(told.update.entries) > LARGE_LIST
-        ):  # what waits meanwhile has its turn before the rest
-            heard = self.heard
-            self.loop.sleep(0)
-            if self.heard != heard:
-                raise ConnectionClosedError("a later address has told meanwhile")
-        version, before = told.version, self.version if self.told_by == address else 0
-        if told.update.kind == "changes" and version < before:
-            self.version = 0  # older states would come back to life: the whole list is asked for
-            raise DiscoveryDataError(f"rev {version} behind {before}")
-        self.log(
-            f"discovery rev={version} kind={told.update.kind} entries={len(told.update.entries)}"
-        )
-        self.notify(told.update, told.endpoints)
-        if told.error:  # and asked for again from where it was
-            raise DiscoveryDataError(told.error)
-        self.version, self.told_by = version, address
+        """Publish a message's update, unless it is older than the list."""
+        parsed = read_targets(message)
+        if len(parsed.update.entries) > LARGE_LIST_ENTRIES:
+            self.yield_to_other_tasks()
+        version = parsed.version
+        listed_version = self.version_at(address)
+        if parsed.update.kind == UpdateKind.CHANGES and version < listed_version:
+            # Applied, it would bring back outdated states: the full list is requested instead.
+            self.version = 0
+            raise DiscoveryDataError(f"rev {version} behind {listed_version}")
+        update = parsed.update
+        self.log(f"discovery rev={version} kind={update.kind} entries={len(update.entries)}")
+        self.notify(update, parsed.endpoints)
+        if parsed.error:
+            # The version stays as it was, so that the next watch sends these changes again.
+            raise DiscoveryDataError(parsed.error)
+        self.version = version
+        self.version_source = address
+
+    def yield_to_other_tasks(self) -> None:
+        """Let other tasks run before a large list is applied.
+
+        Raises:
+            ConnectionClosedError: If a watch at a later address has sent a value meanwhile.
+        """
+        latest_responding = self.latest_responding
+        self.loop.sleep(0)
+        if self.latest_responding != latest_responding:
+            raise ConnectionClosedError("a watch at a later address has responded")
--- a/tests/discovery/test_slow_discovery.py
+++ b/tests/discovery/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that answers, but late: its list is used all the same."""
+"""A discovery that responds late: its list is used all the same."""
 
 import time
 
@@ -6,30 +6,30 @@
 
 
 class LateDiscovery(Discovery):
-    """Says its first word on each watch some time after it was asked."""
+    """Sends its first response on each watch `delay` seconds after the request."""
 
-    def __init__(self, wait):
+    def __init__(self, delay):
         super().__init__()
-        self.wait = wait
+        self.delay = delay
 
     def say(self, wire, whole, targets):
         if wire not in self.watches:
-            time.sleep(self.wait)
+            time.sleep(self.delay)
         super().say(wire, whole, targets)
 
 
-def test_a_discovery_whose_first_word_is_late_is_heard(site):
-    """A change counts as told 6 s after discovery had it and could be reached."""
+def test_the_list_of_a_discovery_that_responds_late_is_applied(site):
+    """A change counts as delivered 6 s after discovery had it and could be reached."""
     readers = [Engine("p", "p-0"), Engine("p", "p-1")]
-    s = site(*readers, Engine("d"), release=True)
+    running = site(*readers, Engine("d"), release=True)
     late = LateDiscovery(1.4).start()
-    late.targets = {e.uid: e.target() for e in s.engines}
+    late.targets = {engine.uid: engine.target() for engine in running.engines}
     late.targets["p-0"] = readers[0].target("Terminating")
     try:
-        s.reconfigure({**s.config, "discovery": late.address}, hup=True)
+        running.reconfigure({**running.config, "discovery": late.address}, hup=True)
         eventually(lambda: late.froms)
-        eventually(lambda: s.log().count(" discovery rev=") == 2, 6)
-        assert [s.chat().status for _ in range(8)] == [200] * 8
+        eventually(lambda: running.log().count(" discovery rev=") == 2, 6)
+        assert [running.chat().status for _ in range(8)] == [200] * 8
         assert not readers[0].asked
     finally:
         late.close()
