--- a/claycross/net/address.py
+++ b/claycross/net/address.py
@@ -1,4 +1,4 @@
-"""Where something listens, and which protocol is spoken there."""
+"""Network addresses, and endpoints of engines."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 
 class Endpoint(NamedTuple):
-    """Where one engine listens, as the list says; two that are equal are the same process."""
+    """Address and protocol of an engine, from the endpoint list.
+
+    Endpoints that are equal belong to the same process.
+    """
 
     host: str
     port: int
-    protocol: str = ""  # as the list names it; empty: not named
-    boot: int = 0  # when that process started, in nanoseconds of Unix time; 0: not known
+    protocol: str = ""  # as named in the endpoint list; empty if it names none
+    boot: int = 0  # start time of the process in nanoseconds of Unix time; 0 if unknown
 
     @property
     def address(self) -> Address:
-        """The host and the port."""
+        """Host and port."""
         return self.host, self.port
 
     def __str__(self) -> str:
--- a/claycross/net/clock.py
+++ b/claycross/net/clock.py
@@ -4,14 +4,14 @@
 
 MS = 1_000_000  # nanoseconds in a millisecond
 SECOND = 1_000_000_000  # nanoseconds in a second
-EPOCH = 10**18  # ns; added to the monotonic clock, so that 0 is always long ago
+CLOCK_OFFSET_NS = 10**18  # added to the monotonic clock, so that 0 is always in the distant past
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 
 def monotonic_clock_id() -> str:
-    """Identify the boot of the machine from which its monotonic clock counts.
+    """Return the boot id of the machine, which identifies its monotonic clock.
 
-    Two processes whose ids agree read the same clock. Empty where the system does not tell.
+    Two processes with the same id read the same clock. Empty if the system provides no boot id.
     """
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as file:
--- a/claycross/net/connection.py
+++ b/claycross/net/connection.py
@@ -17,11 +17,12 @@
 from .errors import ConnectionClosedError, NoLocalSocketError, ReadInterrupted, TimeoutExpired
 from .event_loop import EventLoop, Task
 
-READ_SIZE = 16_384  # bytes; small, so that a greedy sender gets few bytes a turn
-DIAL_RETRY_PAUSE = 5 * MS  # before a dial that failed on this machine is made again; doubles
-MAX_DIAL_RETRY_PAUSE = 20 * MS
-# Errors of connect() at once: no port, no route, no memory, or a full table on this machine.
-LOCAL_ERRORS = (
+READ_BYTES = 16_384  # per recv(); small, so that one fast sender can't occupy the loop
+DIAL_RETRY_DELAY_NS = 5 * MS  # before the first retry of a dial; doubled for each further one
+MAX_DIAL_RETRY_DELAY_NS = 20 * MS
+# Errors that connect() returns for faults of this machine: no free port, no route, no memory or a
+# full table.
+LOCAL_CONNECT_ERRORS = (
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
     errno.ENOBUFS,
@@ -30,32 +31,36 @@
     errno.EPERM,
     errno.EACCES,
 )
-CONNECT_PENDING = (errno.EINPROGRESS, errno.EINTR)
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: on, 0 s; unsent bytes are discarded
-QUEUE_LENGTH = struct.Struct("i")  # as the ioctl calls for queue lengths return it
-FAILED = select.POLLHUP | select.POLLERR
-HANG_UP = select.POLLRDHUP | FAILED | select.POLLNVAL
-READABLE = select.POLLIN | HANG_UP
-WRITABLE = select.POLLOUT | FAILED
+CONNECT_PENDING_ERRORS = (errno.EINPROGRESS, errno.EINTR)
+# The value of SO_LINGER (on, 0 s) with which close() resets the connection and discards unsent
+# bytes.
+LINGER_RESET = struct.pack("ii", 1, 0)
+QUEUE_LENGTH = struct.Struct("i")  # result of the ioctl calls for queue lengths
+# Masks of poll events.
+FAILED_EVENTS = select.POLLHUP | select.POLLERR
+HANG_UP_EVENTS = select.POLLRDHUP | FAILED_EVENTS | select.POLLNVAL
+READABLE_EVENTS = select.POLLIN | HANG_UP_EVENTS
+WRITABLE_EVENTS = select.POLLOUT | FAILED_EVENTS
 
 
 class Connection:
-    """A TCP socket; one task may read from it while another writes to it."""
+    """A TCP connection; one task may read from it while another writes to it."""
 
     def __init__(self, loop: EventLoop, sock: socket.socket, readable_since: int = 0):
         self.loop = loop
         self.sock = sock
-        # What is there to be read may have been there since then; 0: at the last look there was
-        # nothing.
+        # Earliest time at which unread bytes may have arrived; 0 if the last read found none.
         self.readable_since = readable_since
-        self.received_at = 0  # since when the bytes that were read last may have been there
+        # Earliest time at which the bytes that recv() returned last may have arrived.
+        self.received_at = 0
         self.reader: Task | None = None
         self.writer: Task | None = None
-        self.mask = 0  # of the poll events that are watched now
+        self.mask = 0  # poll events that are watched now
         self.closed = False
         self.interrupted = False
-        self.hang_up_only = False  # the reader waits for the peer to end its sending, not for bytes
-        # Called once if anything happens while no task reads.
+        # The reader waits for the peer to end its sending and not for bytes.
+        self.hang_up_only = False
+        # Called once if bytes or the end of the connection arrive while no task reads.
         self.on_idle_event: Callable[[], None] | None = None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -63,59 +68,59 @@
     # ------------------------------------------------------------ opening
 
     @classmethod
-    def dial(cls, loop: EventLoop, address: Address, wait: int) -> Connection:
-        """Return a connection that is established.
+    def dial(cls, loop: EventLoop, address: Address, timeout: int) -> Connection:
+        """Open a connection within `timeout` nanoseconds and return it.
 
-        Faults of this machine are usually over in a moment, so dialing is retried until `wait` is
-        over.
+        Faults of this machine are usually short, so dialing is retried after them until the
+        timeout.
 
         Raises:
             ConnectionClosedError: If the peer is at fault.
             NoLocalSocketError: If this machine is at fault.
         """
-        until = loop.now() + wait
-        pause = DIAL_RETRY_PAUSE
+        deadline = loop.now() + timeout
+        delay = DIAL_RETRY_DELAY_NS
         while True:
             try:
-                return cls.dial_once(loop, address, max(MS, until - loop.now()))
+                return cls.dial_once(loop, address, max(MS, deadline - loop.now()))
             except NoLocalSocketError:
-                if loop.now() + pause >= until:
+                if loop.now() + delay >= deadline:
                     raise
-            loop.sleep(pause)
-            pause = min(2 * pause, MAX_DIAL_RETRY_PAUSE)
+            loop.sleep(delay)
+            delay = min(2 * delay, MAX_DIAL_RETRY_DELAY_NS)
 
     @classmethod
-    def dial_once(cls, loop: EventLoop, address: Address, wait: int) -> Connection:
-        """Return a connection that is established, as dial() does, without retries."""
+    def dial_once(cls, loop: EventLoop, address: Address, timeout: int) -> Connection:
+        """Open a connection as dial() does, but without retries."""
         try:
             connection = cls(loop, socket.socket())
         except OSError as error:  # out of descriptors
-            raise NoLocalSocketError(f"no socket: {error}") from None
+            raise NoLocalSocketError(f"can't open a socket: {error}") from None
         try:
-            connection.connect(address, wait)
+            connection.connect(address, timeout)
         except NoLocalSocketError:
             connection.close()
             raise
         except (OSError, ConnectionClosedError) as error:
             connection.close()
-            raise ConnectionClosedError(f"no connection: {error}") from None
+            raise ConnectionClosedError(f"can't connect: {error}") from None
         return connection
 
-    def connect(self, address: Address, wait: int) -> None:
-        """Connect the socket to this address, within `wait`."""
-        code = self.sock.connect_ex(address)
-        if code in LOCAL_ERRORS:
-            raise NoLocalSocketError(f"no connection: {os.strerror(code)}")
-        if code in CONNECT_PENDING:
-            self.wait(False, wait)
-            code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:
-            raise ConnectionClosedError(os.strerror(code))
+    def connect(self, address: Address, timeout: int) -> None:
+        """Connect the socket to an address within `timeout` nanoseconds."""
+        error_number = self.sock.connect_ex(address)
+        if error_number in LOCAL_CONNECT_ERRORS:
+            raise NoLocalSocketError(f"can't connect: {os.strerror(error_number)}")
+        if error_number in CONNECT_PENDING_ERRORS:
+            self.wait(False, timeout)
+            error_number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            raise ConnectionClosedError(os.strerror(error_number))
 
     # ------------------------------------------------------------ waiting
 
     def watch(self) -> None:
-        """Watch the socket for what its reader, its writer and the idle call wait for."""
+        """Watch the socket for the events that its reader, writer and on_idle_event wait for."""
         mask = 0
         if self.reader and self.hang_up_only:
             mask |= select.POLLRDHUP
@@ -129,24 +134,24 @@
 
     def ready(self, mask: int) -> None:
         """Wake the tasks that wait for these poll events."""
-        if self.reader and mask & READABLE:
+        if self.reader and mask & READABLE_EVENTS:
             self.loop.wake(self.reader)
             self.reader = None
-        if self.writer and mask & WRITABLE:
+        if self.writer and mask & WRITABLE_EVENTS:
             self.loop.wake(self.writer)
             self.writer = None
-        if self.on_idle_event and mask & READABLE:
-            idle = self.on_idle_event
+        if self.on_idle_event and mask & READABLE_EVENTS:
+            callback = self.on_idle_event
             self.on_idle_event = None
-            idle()
+            callback()
         self.watch()
 
-    def wait(self, to_read: bool, span: int = 0) -> None:
-        """Park the current task until the socket is ready to be read from, or written to.
+    def wait(self, to_read: bool, timeout: int = 0) -> None:
+        """Park the current task until the socket is readable (`to_read`), or else writable.
 
         Raises:
-            TimeoutExpired: If it is not ready within `span` (0: no limit).
-            ConnectionClosedError: If the connection was closed here meanwhile.
+            TimeoutExpired: If it is not ready within `timeout` nanoseconds (0: no limit).
+            ConnectionClosedError: If this process closed the connection meanwhile.
         """
         task = self.loop.current_task()
         if to_read:
@@ -154,14 +159,14 @@
         else:
             self.writer = task
         self.watch()
-        expired = self._park(task, span)
+        expired = self._park(task, timeout)
         if self.closed:
-            raise ConnectionClosedError("closed")
+            raise ConnectionClosedError("the connection is closed")
         if expired:
-            raise TimeoutExpired("not ready in time")
+            raise TimeoutExpired("the connection did not become ready in time")
 
-    def _park(self, task: Task, span: int) -> bool:
-        """Park the task that reads or writes; return whether its wait expired."""
+    def _park(self, task: Task, timeout: int) -> bool:
+        """Park the task that reads or writes; return whether its timeout expired."""
         expired = False
         timer = None
 
@@ -170,8 +175,8 @@
             expired = True
             self.loop.wake(task)
 
-        if span:
-            timer = self.loop.call_later(span, expire)
+        if timeout:
+            timer = self.loop.call_later(timeout, expire)
         try:
             self.loop.park()
         finally:
@@ -184,10 +189,10 @@
             self.watch()
         return expired
 
-    def wait_for_hang_up(self, span: int) -> None:
-        """Wait, without reading, until the peer ends its sending, for `span` at most.
+    def wait_for_hang_up(self, timeout: int) -> None:
+        """Wait, without reading, until the peer ends its sending or the timeout expires.
 
-        An end behind much that is unread is not seen.
+        The end is not noticed while it is queued behind many unread bytes.
 
         Raises:
             ConnectionClosedError: If the peer ended its sending or the connection broke.
@@ -196,43 +201,43 @@
         self.readable_since = self.readable_since or self.loop.now()
         while not self.interrupted:
             if self.closed:
-                raise ConnectionClosedError("closed")
+                raise ConnectionClosedError("the connection is closed")
             self.hang_up_only = True
             try:
-                self.wait(True, span)
+                self.wait(True, timeout)
             except TimeoutExpired:
                 return
             finally:
                 self.hang_up_only = False
             if not self.interrupted:
-                raise ConnectionClosedError("the other side ended")
+                raise ConnectionClosedError("the peer ended its sending")
         self.interrupted = False
         raise ReadInterrupted
 
     def interrupt(self) -> None:
-        """Get the reading task out of its wait, now or as soon as it would wait."""
+        """End the wait of the reading task: the current one, or else its next one."""
         self.interrupted = True
         self.loop.wake(self.reader)
 
     # ------------------------------------------------------------ reading and writing
 
-    def recv(self, span: int = 0) -> bytes:
-        """Return some bytes; b"" once the peer has ended its sending.
+    def recv(self, timeout: int = 0) -> bytes:
+        """Return some bytes, or b"" once the peer has ended its sending.
 
         The socket is read once more before a timeout or an interruption is raised, as bytes may
         have arrived at the same moment.
 
         Raises:
-            TimeoutExpired: If nothing arrived within `span` (0: no limit).
+            TimeoutExpired: If nothing arrived within `timeout` nanoseconds (0: no limit).
             ConnectionClosedError: If the connection broke or is closed.
             ReadInterrupted: After interrupt().
         """
-        timeout: TimeoutExpired | None = None
+        timeout_error: TimeoutExpired | None = None
         while True:
             if self.closed:
-                raise ConnectionClosedError("closed")
+                raise ConnectionClosedError("the connection is closed")
             try:
-                data = self.sock.recv(READ_SIZE)
+                data = self.sock.recv(READ_BYTES)
             except BlockingIOError:
                 self.readable_since = 0
             except OSError as error:
@@ -244,27 +249,33 @@
             if self.interrupted:
                 self.interrupted = False
                 raise ReadInterrupted
-            if timeout:
-                raise timeout
+            if timeout_error:
+                raise timeout_error
             try:
-                self.wait(True, span)
+                self.wait(True, timeout)
             except TimeoutExpired as error:
-                timeout = error
+                timeout_error = error
 
-    def send(self, data: bytes, span: int = 0) -> None:
-        """Send all of the data; `span` bounds each wait for a peer that does not read."""
+    def send(self, data: bytes, timeout: int = 0) -> None:
+        """Send all of the data.
+
+        Args:
+            data: The bytes to send.
+            timeout: Longest wait in nanoseconds, each time that the peer does not read; 0 means no
+                limit.
+        """
         view = memoryview(data)
         while view:
             count = self.send_some(view)
             if count:
                 view = view[count:]
             else:
-                self.wait(False, span)
+                self.wait(False, timeout)
 
     def send_some(self, data: bytes | memoryview) -> int:
-        """Send as much as the socket takes without waiting; return how many bytes it took."""
+        """Send what the socket accepts without waiting; return the number of bytes."""
         if self.closed:
-            raise ConnectionClosedError("closed")
+            raise ConnectionClosedError("the connection is closed")
         try:
             return self.sock.send(data)
         except BlockingIOError:
@@ -275,9 +286,9 @@
     # ------------------------------------------------------------ state
 
     def is_idle(self) -> bool:
-        """Return whether it is open with nothing to read.
+        """Return whether the connection is open and has no unread bytes.
 
-        Only such a connection may carry a new request.
+        Only such a connection may be used for a new request.
         """
         if self.closed:
             return False
@@ -292,24 +303,24 @@
     def peer_closed(self) -> bool:
         """Return whether the peer has ended its sending or the connection broke.
 
-        Bytes that wait to be read make no difference.
+        This holds also if there are unread bytes.
         """
         if self.closed:
             return True
         poller = select.poll()
         poller.register(self.sock.fileno(), select.POLLRDHUP)
-        return any(mask & HANG_UP for _, mask in poller.poll(0))
+        return any(mask & HANG_UP_EVENTS for _, mask in poller.poll(0))
 
     def unacknowledged_bytes(self) -> int:
-        """Return how many bytes were sent that the peer's system has not acknowledged."""
+        """Return the number of sent bytes that the peer's system has not acknowledged."""
         return self._queue_length(termios.TIOCOUTQ)
 
     def unread_bytes(self) -> int:
-        """Return how many bytes have arrived that were not read."""
+        """Return the number of bytes that have arrived and were not read."""
         return self._queue_length(termios.FIONREAD)
 
     def _queue_length(self, request: int) -> int:
-        """Return the length of one of the socket's queues; 0 where the system does not tell."""
+        """Return the length of one of the socket's queues; 0 if the system does not provide it."""
         try:
             packed = fcntl.ioctl(self.sock, request, bytes(QUEUE_LENGTH.size))
         except OSError:
@@ -320,25 +331,25 @@
     # ------------------------------------------------------------ closing
 
     def end_sending(self) -> None:
-        """Tell the peer that nothing more is sent; it may go on sending."""
+        """Shut down the sending direction; the peer may go on sending."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError as error:
             raise ConnectionClosedError(str(error)) from None
 
     def abort(self) -> None:
-        """Close it and discard what the peer has not received.
+        """Close the connection and discard bytes that the peer has not received.
 
-        After an orderly close the system would go on sending that for as long as the peer takes
-        to read it.
+        After an orderly close the system would keep sending them for as long as the peer takes to
+        read them.
         """
         if not self.closed and self.unacknowledged_bytes():
             with contextlib.suppress(OSError):
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.close()
 
     def close(self) -> None:
-        """Close the socket and wake the tasks that wait for it."""
+        """Close the socket and wake the tasks that wait on it."""
         if self.closed:
             return
         self.closed = True
--- a/claycross/net/datagrams.py
+++ b/claycross/net/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket by which gateways send each other datagrams, whatever these mean."""
+"""The UDP socket through which gateways exchange datagrams; their content is opaque here."""
 
 from __future__ import annotations
 
@@ -12,48 +12,50 @@
 from .clock import MS
 from .event_loop import EventLoop
 
-MAX_DATAGRAM = 256  # bytes; the platform bans a service that sends a longer one
-REBIND_INTERVAL = 250 * MS  # between attempts to bind an address that another process holds
-# Datagrams received in one iteration of the loop; more wait in the kernel, or are lost there.
-RECEIVED_AT_ONCE = 64
+MAX_DATAGRAM_BYTES = 256  # the platform bans a service that sends a longer one
+REBIND_INTERVAL_NS = 250 * MS  # between attempts to bind an address that another process holds
+# Datagrams received in one iteration of the loop. Others wait in the kernel's buffer, which drops
+# them when it is full.
+MAX_RECEIVES_PER_ITERATION = 64
 
 
 class DatagramSocket:
-    """A socket for datagrams between the gateways of this service; those of others are dropped."""
+    """Sends and receives datagrams of this service's gateways; drops those of other senders."""
 
     def __init__(
         self,
         loop: EventLoop,
         listen: Address,
         peers: tuple[Address, ...],
-        everyone: Address,
-        me: int,
-        heard: Callable[[int, bytes], None],
+        broadcast_address: Address,
+        own_number: int,
+        on_datagram: Callable[[int, bytes], None],
     ):
-        """Bind the socket and call `heard` with the sender's number and the bytes of datagrams.
+        """Bind the socket, now or as soon as the address is free.
 
         Args:
             loop: The event loop.
             listen: The address to bind.
-            peers: The addresses of all gateways, by number.
-            everyone: The address that reaches all other gateways.
-            me: The number of this gateway.
-            heard: Called with each datagram of another gateway.
+            peers: The addresses of all gateways, by gateway number.
+            broadcast_address: The address that reaches all other gateways.
+            own_number: The number of this gateway.
+            on_datagram: Called with the sender's number and the payload of each datagram that
+                another gateway sent.
         """
         self.loop = loop
         self.listen = listen
         self.addresses = peers
-        self.everyone = everyone
-        self.me = me
-        self.on_datagram = heard
+        self.broadcast_address = broadcast_address
+        self.own_number = own_number
+        self.on_datagram = on_datagram
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.sent = 0
         self.received = 0
-        self.rejected = 0  # too long, or of a sender that is no gateway
-        self.unsent = 0
+        self.rejected = 0  # datagrams that were too long, or of an unknown sender
+        self.unsent = 0  # datagrams that were too long, or that the socket did not take
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
-        # A process that takes over from another binds the same address while that still runs.
+        # A new process binds the same address while the one that it replaces still runs.
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if hasattr(socket, "SO_REUSEPORT"):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -61,56 +63,60 @@
         self.bind()
 
     def bind(self) -> None:
-        """Bind the socket, or try again later if another process holds the address.
+        """Bind the socket, or retry later if another process holds the address.
 
-        Until it is bound nothing is sent.
+        Nothing is sent until it is bound.
         """
         try:
             self.sock.bind(self.listen)
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            self.loop.call_later(REBIND_INTERVAL, self.bind)
+            self.loop.call_later(REBIND_INTERVAL_NS, self.bind)
             return
         self.bound = True
         self.loop.watch(self.sock.fileno(), select.POLLIN, self.ready)
 
     def send_to_gateway(self, payload: bytes, number: int) -> None:
-        """Send to the gateway with this number, or to all others (ALL_GATEWAYS); it may be lost."""
-        self.send(payload, self.everyone if number == ALL_GATEWAYS else self.addresses[number])
+        """Send to one gateway, or to all others (ALL_GATEWAYS), without a guarantee of delivery."""
+        if number == ALL_GATEWAYS:
+            address = self.broadcast_address
+        else:
+            address = self.addresses[number]
+        self.send(payload, address)
 
-    def send(self, payload: bytes, to: Address) -> None:
-        """Send a datagram, if it is not too long and the socket takes it."""
-        if len(payload) > MAX_DATAGRAM or not self.bound:
+    def send(self, payload: bytes, address: Address) -> None:
+        """Send a datagram, unless it is too long or the socket does not take it."""
+        if len(payload) > MAX_DATAGRAM_BYTES or not self.bound:
             self.unsent += 1
             return
         try:
-            self.sock.sendto(payload, to)
+            self.sock.sendto(payload, address)
         except OSError:
             self.unsent += 1
         else:
             self.sent += 1
 
     def ready(self, _: int) -> None:
-        """Receive what waits, up to a bound."""
-        for _ in range(RECEIVED_AT_ONCE):
+        """Receive the datagrams that have arrived, up to MAX_RECEIVES_PER_ITERATION."""
+        for _ in range(MAX_RECEIVES_PER_ITERATION):
             try:
-                payload, sender = self.sock.recvfrom(MAX_DATAGRAM + 1)
-            except OSError:  # nothing more, or a report that an earlier one reached nobody
+                payload, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+            except OSError:  # nothing left, or an ICMP error for a datagram that was sent before
                 return
             self.receive(payload, sender)
 
     def receive(self, payload: bytes, sender: Address) -> None:
-        """Hand on a datagram of another gateway."""
+        """Pass on a datagram if another gateway sent it."""
         number = self.numbers.get(sender)
-        if number is None or len(payload) > MAX_DATAGRAM:
+        if number is None or len(payload) > MAX_DATAGRAM_BYTES:
             self.rejected += 1
-        elif number != self.me:
+        elif number != self.own_number:
             self.received += 1
             self.on_datagram(number, payload)
 
     def metrics(self) -> dict[str, int]:
-        """Return the counts for the log, by name."""
+        """Return the counters by the names that the log uses."""
         return {
             "told": self.sent,
             "heard": self.received,
--- a/claycross/net/errors.py
+++ b/claycross/net/errors.py
@@ -1,14 +1,14 @@
-"""Errors that the connections of the event loop raise."""
+"""Errors raised by connections of the event loop."""
 
 from __future__ import annotations
 
 
 class ConnectionClosedError(Exception):
-    """The connection broke, or was closed by this process or by its peer."""
+    """The connection failed, or this process or the peer closed it."""
 
 
 class NoLocalSocketError(ConnectionClosedError):
-    """This process can't open another connection; this says nothing about the peer."""
+    """This machine could not open a socket or a connection; the peer is not at fault."""
 
 
 class TimeoutExpired(ConnectionClosedError):
@@ -16,4 +16,4 @@
 
 
 class ReadInterrupted(Exception):
-    """The task that reads from the connection is wanted for something else."""
+    """Connection.interrupt() ended the wait of the task that reads."""
--- a/claycross/net/event_loop.py
+++ b/claycross/net/event_loop.py
@@ -1,7 +1,7 @@
 """The event loop: schedules greenlets over select.poll and a timer wheel.
 
-The loop has the only clock, the only blocking poll call and every timer of the process, and
-measures its own lag. An exception in one task is logged and does not end the loop.
+The loop owns the clock, the only blocking poll call and all timers of the process, and measures
+its own lag. An exception in one task is logged and does not end the loop.
 """
 
 from __future__ import annotations
@@ -19,72 +19,78 @@
 from greenlet import getcurrent, greenlet  # type: ignore[import-untyped]
 
 from ..invariant import log_line
-from .clock import EPOCH, MS, monotonic_clock_id
+from .clock import CLOCK_OFFSET_NS, MS, monotonic_clock_id
 from .errors import ConnectionClosedError
-from .stall_detection import ready_since
-from .timers import TICK, Timer, TimerWheel
+from .stall_detection import earliest_ready_time
+from .timers import TICK_NS, Timer, TimerWheel
 
-# Longest wait of one poll: a process that was stopped learns from it for how long.
-MAX_POLL_WAIT = 100 * MS
-LATE = 40 * MS  # an iteration or a timer that is later than this counts, and is logged if traced
-POLL_FAILED_PAUSE = 0.002  # seconds
-WAKEUP_READ_SIZE = 512  # bytes read at once of the pending signals, one byte for each
-TRACEBACK_FRAMES = 4  # innermost frames that the log line of an unexpected exception shows
-STDERR = 2
+# Longest wait of one poll. A poll that returns much later shows that the process was stopped, and
+# for how long.
+MAX_POLL_WAIT_NS = 100 * MS
+# A longer iteration, or a timer that expires later than this, is counted, and logged if traced.
+LATE_THRESHOLD_NS = 40 * MS
+POLL_RETRY_DELAY_S = 0.002  # after poll() failed
+WAKEUP_READ_BYTES = 512  # read at once from the wakeup socket, which holds one byte per signal
+TRACEBACK_FRAME_COUNT = 4  # innermost frames in the log line of an unexpected exception
+STDERR_DESCRIPTOR = 2
 
 
 class Task:
-    """One greenlet. A parked task runs again after wake(); waking it twice is the same as once."""
+    """A greenlet of the loop. Waking a parked task more than once has the same effect as once."""
 
-    __slots__ = ("background", "parked", "run")
+    __slots__ = ("background", "greenlet", "parked")
 
-    def __init__(self, run: greenlet, background: bool):
-        self.run = run
+    def __init__(self, task_greenlet: greenlet, background: bool):
+        self.greenlet = task_greenlet
         self.background = background
         self.parked = True
 
 
 class EventLoop:
-    """Runs tasks when they are woken, when their file is ready, and when their timer is due."""
+    """Runs tasks that were woken, callbacks of ready file descriptors, and timers that are due."""
 
     def __init__(self) -> None:
-        self.started_unix = time.time_ns() - time.monotonic_ns()
+        self.unix_offset_ns = time.time_ns() - time.monotonic_ns()
         self.clock_id = monotonic_clock_id()
         self.poller = select.poll()
-        self.watched: dict[int, Callable[[int], None]] = {}  # by file descriptor
+        self.ready_callbacks: dict[int, Callable[[int], None]] = {}  # by file descriptor
         self.wheel = TimerWheel(self.now())
-        self.urgent: deque[Task] = deque()
-        self.background: deque[Task] = deque()
-        self.hub = getcurrent()
+        self.ready_tasks: deque[Task] = deque()
+        self.ready_background_tasks: deque[Task] = deque()
+        self.hub = getcurrent()  # the greenlet that runs the loop
         self.current: Task | None = None
         self.after_iteration: list[Callable[[], None]] = []
         self.stopping = False
         self.iterations = 0
         self.late_iterations = 0
-        self.max_lag = 0
-        self.errors = 0
-        self.polled_at = self.ready_since = self.now()
-        self.stalls = 0  # iterations that found what may have waited while the process stood still
-        self.longest_stall = 0
+        self.max_lag = 0  # ns
+        self.errors = 0  # exceptions logged by report()
+        self.last_poll_at = self.now()
+        # What the last poll found ready may have been ready since then.
+        self.ready_since = self.last_poll_at
+        self.stalls = 0  # polls after which the process had not run for a while
+        self.longest_stall = 0  # ns
 
     def now(self) -> int:
-        """Return the monotonic time in nanoseconds, for every duration and order of events.
+        """Return the monotonic time in nanoseconds, for durations and the order of events.
 
-        It counts from EPOCH, so that 0 is long ago also on a machine that has just started.
+        CLOCK_OFFSET_NS is added, so that 0 is in the distant past even on a machine that has just
+        booted.
         """
-        return time.monotonic_ns() + EPOCH
+        return time.monotonic_ns() + CLOCK_OFFSET_NS
 
     def unix_time(self) -> int:
-        """Return the Unix time at the start plus what has passed since; for logs only.
+        """Return the Unix time in nanoseconds, for logs only.
 
-        The code never compares two of these times.
+        It is the Unix time at the start plus the monotonic time since, so changes of the system
+        clock don't affect it. The code never compares two of these times.
         """
-        return time.monotonic_ns() + self.started_unix
+        return time.monotonic_ns() + self.unix_offset_ns
 
     # ------------------------------------------------------------ tasks and timers
 
     def spawn(self, work: Callable[..., Any], *args: Any, background: bool = False) -> Task:
-        """Start a task; its first step is made in a later turn of the loop."""
+        """Start a task, which first runs in a later scheduling pass of the loop."""
 
         def body() -> None:
             try:
@@ -99,56 +105,59 @@
         return task
 
     def report(self, where: str) -> None:
-        """Log the exception that is being handled, which nobody foresaw, as one line."""
+        """Log the unexpected exception that is being handled, as one line."""
         self.errors += 1
-        kind, error, trace = sys.exc_info()
-        name = "" if kind is None else kind.__name__
-        frames = traceback.extract_tb(trace)[-TRACEBACK_FRAMES:]
+        error_type, error, trace = sys.exc_info()
+        name = "" if error_type is None else error_type.__name__
+        frames = traceback.extract_tb(trace)[-TRACEBACK_FRAME_COUNT:]
         at = " < ".join(f"{frame.name}:{frame.lineno}" for frame in reversed(frames))
-        log_line(f"unexpected where={where} error={name}: {error} at={at}", STDERR)
+        log_line(f"unexpected where={where} error={name}: {error} at={at}", STDERR_DESCRIPTOR)
 
     def wake(self, task: Task | None) -> None:
-        """Let a parked task run again; any other, and None, is left as it is."""
+        """Schedule a parked task; a task that is not parked, and None, are ignored."""
         if task is None or not task.parked:
             return
         task.parked = False
         if task.background:
-            self.background.append(task)
+            self.ready_background_tasks.append(task)
         else:
-            self.urgent.append(task)
+            self.ready_tasks.append(task)
 
     def park(self) -> None:
-        """Suspend the current task until something wakes it."""
+        """Suspend the current task until wake() is called for it."""
         self.current_task().parked = True
         self.hub.switch()
 
     def current_task(self) -> Task:
-        """Return the task that runs; only a task may wait."""
+        """Return the running task; only a task may wait."""
         assert self.current is not None, "only a task of the event loop may wait"
         return self.current
 
-    def sleep(self, span: int) -> None:
-        """Suspend the current task for this many nanoseconds."""
+    def sleep(self, duration: int) -> None:
+        """Suspend the current task for `duration` nanoseconds."""
         task = self.current_task()
-        self.call_later(span, lambda: self.wake(task))
+        self.call_later(duration, lambda: self.wake(task))
         self.park()
 
-    def call_later(self, span: int, call: Callable[[], None]) -> Timer:
-        """Make a call in this many nanoseconds, unless the timer is cancelled."""
-        return self.wheel.add(self.now() + max(0, span), call)
+    def call_later(self, delay: int, call: Callable[[], None]) -> Timer:
+        """Call `call` after `delay` nanoseconds, unless the timer is cancelled before."""
+        return self.wheel.add(self.now() + max(0, delay), call)
 
     # ------------------------------------------------------------ iterations
 
     def watch(self, descriptor: int, mask: int, ready: Callable[[int], None]) -> None:
-        """Call `ready` with the poll events of a file that are in `mask`; 0: no more."""
+        """Call `ready` with the poll events of a descriptor when one in `mask` occurs.
+
+        With a mask of 0 the descriptor is no longer watched.
+        """
         if mask:
             self.poller.register(descriptor, mask)
-            self.watched[descriptor] = ready
-        elif self.watched.pop(descriptor, None):
+            self.ready_callbacks[descriptor] = ready
+        elif self.ready_callbacks.pop(descriptor, None):
             self.poller.unregister(descriptor)
 
     def stop(self) -> None:
-        """Let run() return after the current iteration."""
+        """Make run() return after the current iteration."""
         self.stopping = True
 
     def run(self) -> None:
@@ -157,93 +166,100 @@
             self.run_iteration()
 
     def run_iteration(self) -> None:
-        """Poll once and run what is ready and due."""
-        lag = self.work(self.poll(self.poll_wait()))
-        if lag > LATE:
+        """Poll once, and run the tasks and callbacks that are ready and the timers that are due."""
+        lag = self.work(self.poll(self.poll_timeout_ms()))
+        if lag > LATE_THRESHOLD_NS:
             self.late_iterations += 1
         self.max_lag = max(self.max_lag, lag)
 
-    def poll_wait(self) -> int:
+    def poll_timeout_ms(self) -> int:
         """Return for how many milliseconds the next poll may wait."""
-        if self.urgent or self.background:
+        if self.ready_tasks or self.ready_background_tasks:
             return 0
-        until_due = self.wheel.next_due() * TICK - self.now()
-        return min(MAX_POLL_WAIT // MS, max(0, -(-until_due // MS)))
+        until_due = self.wheel.next_due_tick() * TICK_NS - self.now()
+        return min(MAX_POLL_WAIT_NS // MS, max(0, -(-until_due // MS)))
+
+    def poll(self, timeout_ms: int) -> list[tuple[int, int]]:
+        """Return the descriptors that become ready within the timeout, with their poll events.
 
-    def poll(self, wait: int) -> list[tuple[int, int]]:
-        """Return what is ready within so many milliseconds, and note since when it may be."""
-        begun = self.now()
+        Sets `ready_since` to the earliest time at which they may have become ready.
+        """
+        started_at = self.now()
         try:
-            ready = self.poller.poll(wait)
+            ready = self.poller.poll(timeout_ms)
         except OSError:  # ENOMEM and the like are temporary and must not end the process
             self.report("poll")
-            time.sleep(POLL_FAILED_PAUSE)
+            time.sleep(POLL_RETRY_DELAY_S)
             ready = []
         now = self.now()
-        self.ready_since = ready_since(self.polled_at, begun, wait * MS, now)
+        self.ready_since = earliest_ready_time(self.last_poll_at, started_at, timeout_ms * MS, now)
         if now > self.ready_since:
             self.stalls += 1
             self.longest_stall = max(self.longest_stall, now - self.ready_since)
-        self.polled_at = now
+        self.last_poll_at = now
         return ready
 
     def work(self, ready: list[tuple[int, int]]) -> int:
-        """Run one iteration after its poll; return the lag of its last piece of work, in ns."""
+        """Run the part of an iteration that follows its poll; return its lag in nanoseconds.
+
+        The lag is the delay of the last piece of work: the duration of the iteration, or by how
+        much the earliest timer was late, whichever is greater.
+        """
         start = self.now()
         for descriptor, mask in ready:
-            call = self.watched.get(descriptor)
+            call = self.ready_callbacks.get(descriptor)
             if call:
                 self.guard(call, mask)
-        # What has arrived goes before what is due: a response that crosses its timeout counts.
-        self.run_urgent()
+        # I/O goes before timers: a response that arrives just as its timeout expires counts.
+        self.run_ready_tasks()
         due = self.wheel.expire(start)
         for timer in due:
             if timer.call:
                 self.guard(timer.call)
-        self.run_urgent()
-        # One background task in each iteration: urgent tasks that became ready meanwhile go first.
-        if self.background:
-            self.switch(self.background.popleft())
-            self.run_urgent()
-        for call_after in self.after_iteration:
-            self.guard(call_after)
+        self.run_ready_tasks()
+        # One background task per iteration: other tasks that become ready meanwhile go first.
+        if self.ready_background_tasks:
+            self.switch(self.ready_background_tasks.popleft())
+            self.run_ready_tasks()
+        for callback in self.after_iteration:
+            self.guard(callback)
         self.iterations += 1
-        timer_lag = start - due[0].due * TICK if due else 0
+        timer_lag = start - due[0].due_tick * TICK_NS if due else 0
         return max(self.now() - start, timer_lag)
 
-    def run_urgent(self) -> None:
-        """Run the urgent tasks that are ready now, but not those that become ready meanwhile."""
-        for _ in range(len(self.urgent)):
-            self.switch(self.urgent.popleft())
+    def run_ready_tasks(self) -> None:
+        """Run the tasks that are ready now, but not those that become ready meanwhile."""
+        for _ in range(len(self.ready_tasks)):
+            self.switch(self.ready_tasks.popleft())
 
     def switch(self, task: Task) -> None:
         """Run a task until it parks or ends."""
         self.current = task
-        task.run.switch()
+        task.greenlet.switch()
         self.current = None
 
     def guard(self, call: Callable[..., None], *args: Any) -> None:
-        """Make a call; log its exception, if any."""
+        """Call `call`; an exception is logged and not raised."""
         try:
             call(*args)
         except Exception:
             self.report(getattr(call, "__qualname__", "call"))
 
-    # ------------------------------------------------------------ signals of the system
+    # ------------------------------------------------------------ operating system signals
 
     def on_signals(self, calls: dict[int, Callable[[], None]]) -> None:
-        """Make the call of each signal in the loop, not in the handler, and unblock the signals."""
+        """Run the callback of each signal in the loop, not in its handler; unblock the signals."""
         self.wakeup = socket.socketpair()
-        receiving, sending = self.wakeup
-        receiving.setblocking(False)
-        sending.setblocking(False)
-        signal.set_wakeup_fd(sending.fileno(), warn_on_full_buffer=False)
-        for number in calls:
-            signal.signal(number, lambda *_: None)
+        receiver, sender = self.wakeup
+        receiver.setblocking(False)
+        sender.setblocking(False)
+        signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
+        for signal_number in calls:
+            signal.signal(signal_number, lambda *_: None)
 
         def ready(_: int) -> None:
-            for number in set(receiving.recv(WAKEUP_READ_SIZE)) & calls.keys():
-                self.guard(calls[number])
+            for signal_number in set(receiver.recv(WAKEUP_READ_BYTES)) & calls.keys():
+                self.guard(calls[signal_number])
 
-        self.watch(receiving.fileno(), select.POLLIN, ready)
+        self.watch(receiver.fileno(), select.POLLIN, ready)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, calls)
--- a/claycross/net/http1_encoding.py
+++ b/claycross/net/http1_encoding.py
@@ -1,10 +1,10 @@
-"""How HTTP/1.1 messages are written."""
+"""Serializes HTTP/1.1 requests, responses and chunks."""
 
 from __future__ import annotations
 
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     204: "No Content",
@@ -31,7 +31,7 @@
 def encode_request(
     method: str, target: str, headers: list[tuple[str, str]], body: bytes = b""
 ) -> bytes:
-    """Return the bytes of a request."""
+    """Return the request as bytes."""
     lines = [f"{method} {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers)]
     if body or method in ("POST", "PUT"):
         lines.append(f"Content-Length: {len(body)}")
@@ -44,8 +44,8 @@
     body: bytes | None = b"",
     close: bool = False,
 ) -> bytes:
-    """Return the bytes of a response; with body None, the head of a chunked one."""
-    lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"]
+    """Return the response as bytes; if `body` is None, only the head of a chunked response."""
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}"]
     lines += [f"{name}: {value}" for name, value in headers or []]
     lines.append("Transfer-Encoding: chunked" if body is None else f"Content-Length: {len(body)}")
     if close:
@@ -54,5 +54,5 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Return the bytes of a chunk."""
+    """Return the data as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/claycross/net/listener.py
+++ b/claycross/net/listener.py
@@ -1,4 +1,4 @@
-"""Listening TCP sockets: bound here or inherited, with accepting that can be paused and drained."""
+"""Listening TCP sockets, bound by this process or inherited; accepting can pause and drain."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .connection import Connection
 from .event_loop import EventLoop
 
-ACCEPTS_AT_ONCE = 64  # connections accepted in one go
-MAX_DRAIN_ROUNDS = 64  # of that many accepts each, as a listener closes
-BLOCKED_PAUSE = 20 * MS  # until a listener that could not accept what waits tries again
-# Faults of binding a socket that are temporary: the process before still has the address, or a
-# table of the system is full.
+ACCEPT_BATCH_SIZE = 64  # connections accepted at once
+MAX_DRAIN_BATCHES = 64  # accept batches in one attempt to drain the socket
+BLOCKED_RETRY_DELAY_NS = 20 * MS  # until accepting is tried again, after it was blocked
+# Errors of bind() that are temporary: the previous process still holds the address, or a table of
+# the system is full.
 TEMPORARY_BIND_ERRORS = (
     errno.EADDRINUSE,
     errno.EMFILE,
@@ -28,15 +28,15 @@
     errno.ENOMEM,
     errno.EAGAIN,
 )
-BIND_TIMEOUT = 4 * SECOND  # for which binding is retried after a temporary fault
-BIND_RETRY_PAUSE = 0.05  # seconds
+BIND_TIMEOUT_NS = 4 * SECOND  # for which binding is retried after temporary errors
+BIND_RETRY_DELAY_S = 0.05
 
 
 def inherited_socket(descriptor: int) -> socket.socket:
-    """Return the listening TCP socket over IPv4 that this process was given.
+    """Return the inherited listening socket with this descriptor: TCP over IPv4, and bound.
 
     Raises:
-        OSError: If the descriptor is anything else.
+        OSError: If the descriptor is not such a socket.
     """
     sock = socket.socket(fileno=descriptor)
     if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
@@ -51,36 +51,35 @@
 def bound_socket(address: Address) -> socket.socket:
     """Return a TCP socket bound to this address.
 
-    Temporary faults are waited for, BIND_TIMEOUT at most. This blocks, as a process that starts
-    may.
+    Binding is retried after temporary errors for up to BIND_TIMEOUT_NS. This blocks the process,
+    which is acceptable while it starts.
     """
-    until = time.monotonic_ns() + BIND_TIMEOUT
+    deadline = time.monotonic_ns() + BIND_TIMEOUT_NS
     while True:
         try:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(address)
         except OSError as error:
-            if error.errno not in TEMPORARY_BIND_ERRORS or time.monotonic_ns() >= until:
+            if error.errno not in TEMPORARY_BIND_ERRORS or time.monotonic_ns() >= deadline:
                 raise
-            time.sleep(BIND_RETRY_PAUSE)
+            time.sleep(BIND_RETRY_DELAY_S)
         else:
             return sock
 
 
 class AcceptResult(Enum):
-    """How one go of accepts ended."""
+    """Why a batch of accepts ended."""
 
-    MORE = auto()  # at its bound
-    EMPTY = auto()  # nothing waits
-    BLOCKED = auto()  # there is no capacity, or the system refused
+    MORE = auto()  # the batch was full; more connections may be pending
+    EMPTY = auto()  # no connection was pending
+    BLOCKED = auto()  # there was no capacity, or accept() failed
 
 
 class Listener:
-    """Accepts connections while `has_capacity()` says so.
+    """Accepts connections while `has_capacity()` returns true.
 
-    It is open, then (after close()) closing until the kernel holds no more connections for it,
-    then closed.
+    After close() it drains the connections that the kernel has queued, and then closes its socket.
     """
 
     def __init__(
@@ -96,8 +95,9 @@
         self.loop = loop
         self.on_connection = on_connection
         self.has_capacity = has_capacity
-        self.accept_errors: Counter[str] = Counter()  # by the name of the system's error
-        # A shared socket is also held by the platform: what waits in it is not ours alone.
+        self.accept_errors: Counter[str] = Counter()  # by the name of the errno
+        # The platform holds an inherited socket too and passes it to other processes, which may
+        # accept its pending connections.
         self.shared = inherited_descriptor is not None
         self.sock = (
             bound_socket(address)
@@ -106,25 +106,25 @@
         )
         self.sock.setblocking(False)
         self.sock.listen(backlog)
-        self.bound_to: Address = self.sock.getsockname()[:2]
+        self.bound_address: Address = self.sock.getsockname()[:2]
         self.open = True
         self.closed = False
         self.paused = False
-        self.blocked_since = 0  # connections may wait since then that could not be accepted
-        self.close_by = 0
+        self.blocked_since = 0  # pending connections may have waited since then; 0: not blocked
+        self.drain_deadline = 0
         loop.watch(self.sock.fileno(), select.POLLIN, self.ready)
 
     def address(self) -> Address:
-        """Return the address that it is bound to."""
-        return self.bound_to
+        """Return the address that the socket is bound to."""
+        return self.bound_address
 
     def ready(self, _: int) -> None:
-        """Accept what waits, as the socket has become readable."""
+        """Accept pending connections when the socket has become readable."""
         self.accept()
 
     def accept(self) -> AcceptResult:
-        """Accept what waits, up to a bound."""
-        for _ in range(ACCEPTS_AT_ONCE):
+        """Accept pending connections, ACCEPT_BATCH_SIZE at most."""
+        for _ in range(ACCEPT_BATCH_SIZE):
             if not self.has_capacity():
                 return self.pause()
             try:
@@ -132,7 +132,9 @@
             except BlockingIOError:
                 self.blocked_since = 0
                 return AcceptResult.EMPTY
-            except ConnectionAbortedError:  # this client went away meanwhile
+            except (
+                ConnectionAbortedError
+            ):  # the client closed the connection before it was accepted
                 continue
             except OSError as error:
                 self.accept_errors[errno.errorcode.get(error.errno or 0, "?")] += 1
@@ -141,12 +143,12 @@
         return AcceptResult.MORE
 
     def pause(self) -> AcceptResult:
-        """Stop watching for a while, as a readable socket would keep the loop busy."""
+        """Stop watching the socket for a while: as it stays readable, polling would never wait."""
         self.blocked_since = self.blocked_since or self.loop.now()
         if not self.paused and not self.closed:
             self.paused = True
             self.loop.watch(self.sock.fileno(), 0, self.ready)
-            self.loop.call_later(BLOCKED_PAUSE, self.resume)
+            self.loop.call_later(BLOCKED_RETRY_DELAY_NS, self.resume)
         return AcceptResult.BLOCKED
 
     def resume(self) -> None:
@@ -155,36 +157,36 @@
             self.paused = False
             self.loop.watch(self.sock.fileno(), select.POLLIN, self.ready)
 
-    def close(self, within: int = 0) -> None:
-        """Accept no further connections.
+    def close(self, drain_timeout: int = 0) -> None:
+        """Stop listening, after accepting the connections that the kernel has already queued.
 
-        Closing resets the connections that the kernel has taken for this process. They are
-        accepted before, and the socket stays open for that, but no longer than `within`. A shared
-        socket keeps what waits in it for the process that takes over.
+        Closing the socket resets queued connections, so it stays open until they are accepted, but
+        for `drain_timeout` nanoseconds at most. A shared socket is closed at once: the process
+        that takes over accepts what is queued.
         """
         if not self.open:
             return
         self.open = False
-        self.close_by = self.loop.now() + within
+        self.drain_deadline = self.loop.now() + drain_timeout
         if self.shared:
-            self.shut()
+            self.close_socket()
         else:
             self.drain()
 
     def drain(self) -> None:
-        """Accept all that waits, then close the socket; retry later where accepting is blocked."""
+        """Accept all pending connections, then close the socket; retry later if that is blocked."""
         result = AcceptResult.MORE
-        for _ in range(MAX_DRAIN_ROUNDS):
+        for _ in range(MAX_DRAIN_BATCHES):
             result = self.accept()
             if result is not AcceptResult.MORE:
                 break
-        if result is AcceptResult.EMPTY or self.loop.now() >= self.close_by:
-            self.shut()
+        if result is AcceptResult.EMPTY or self.loop.now() >= self.drain_deadline:
+            self.close_socket()
         else:
-            self.loop.call_later(BLOCKED_PAUSE, self.drain)
+            self.loop.call_later(BLOCKED_RETRY_DELAY_NS, self.drain)
 
-    def shut(self) -> None:
-        """Close the socket."""
+    def close_socket(self) -> None:
+        """Stop watching the socket and close it."""
         self.closed = True
         if not self.paused:
             self.loop.watch(self.sock.fileno(), 0, self.ready)
--- a/claycross/net/loop.py
+++ b/claycross/net/loop.py
@@ -1,18 +1,16 @@
-"""The names of the event loop and of its connections, in one place for other packages."""
+"""Re-exports the event loop, its connections, timers and errors for other packages."""
 
 from __future__ import annotations
 
-from .clock import EPOCH, MS, SECOND, monotonic_clock_id
+from .clock import MS, SECOND, monotonic_clock_id
 from .connection import Connection
 from .errors import ConnectionClosedError, NoLocalSocketError, ReadInterrupted, TimeoutExpired
-from .event_loop import LATE, EventLoop, Task
+from .event_loop import EventLoop, Task
 from .listener import Listener
 from .task_signal import Signal
 from .timers import Timer
 
 __all__ = [
-    "EPOCH",
-    "LATE",
     "MS",
     "SECOND",
     "Connection",
--- a/claycross/net/loop_metrics.py
+++ b/claycross/net/loop_metrics.py
@@ -1,7 +1,7 @@
-"""Measures what makes iterations of the event loop late.
+"""Measures what makes iterations of the event loop slow.
 
-It times the calls of an iteration, and the part of the garbage collector and of other processes.
-Used by `serve --trace`; it costs nothing where it is not attached.
+Times the callbacks and tasks of each iteration and the garbage collector, and compares the
+duration with the CPU time. Used by `serve --trace`; it costs nothing unless it is attached.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from typing import Any, NamedTuple
 
 from .clock import MS
-from .event_loop import LATE, EventLoop, Task
+from .event_loop import LATE_THRESHOLD_NS, EventLoop, Task
 
-MAX_SPANS = 65_536  # iterations kept for the quantiles of one line
+MAX_DURATIONS = 65_536  # iterations recorded for the quantiles of one summary
 QUANTILES = {"p50": 0.5, "p99": 0.99, "p999": 0.999, "worst": 1.0}
-REPLACED_METHODS = ("guard", "switch", "work")  # of the loop, while this is attached
+REPLACED_METHODS = ("guard", "switch", "work")  # of the loop, while LoopMetrics is attached
 
 
 class TimedCall(NamedTuple):
-    """A call and how long it took."""
+    """A callback or task of the loop and how long it ran."""
 
-    span: int
+    duration: int  # ns
     name: str
 
 
@@ -30,87 +30,86 @@
 
 
 class LoopMetrics:
-    """Times each iteration of a loop and its calls.
+    """Times each iteration of a loop and the calls in it.
 
-    `log` gets a line for each late iteration: how long it took, how much of that this process ran
-    (cpu_ms; the rest of the time the machine kept it waiting), how much was spent in the garbage
-    collector (gc_ms) and how much in the longest call. Times are in milliseconds.
+    `log` gets a line for each slow iteration, with times in milliseconds: its duration, its lag,
+    the CPU time of the thread (cpu_ms; for the rest it slept or waited for a CPU), the time spent
+    in the garbage collector (gc_ms), and the longest call.
     """
 
     def __init__(self, loop: EventLoop, log: Callable[[str], None]):
         self.loop = loop
         self.log = log
-        self.late = LATE
-        self.spans: list[int] = []  # of the iterations since the last summary
-        self.collected = 0  # time of the collector in this iteration
-        self.collection_begun = 0
-        self.longest = NO_CALL  # of this iteration
+        self.durations: list[int] = []  # ns; of the iterations since the last summary
+        self.gc_time = 0  # ns spent in the garbage collector in this iteration
+        self.gc_started_at = 0  # 0 while no collection runs
+        self.longest_call = NO_CALL  # of this iteration
         self.loop_guard = loop.guard
         self.loop_switch = loop.switch
         self.loop_work = loop.work
         loop.guard = self.guard  # type: ignore[method-assign]
         loop.switch = self.switch  # type: ignore[method-assign]
         loop.work = self.work  # type: ignore[method-assign]
-        gc.callbacks.append(self.collecting)
+        gc.callbacks.append(self.gc_callback)
 
     def detach(self) -> None:
-        """Leave the loop as it was."""
-        gc.callbacks.remove(self.collecting)
+        """Restore the methods of the loop and stop timing."""
+        gc.callbacks.remove(self.gc_callback)
         for name in REPLACED_METHODS:
             delattr(self.loop, name)
 
-    def collecting(self, phase: str, _: dict[str, int]) -> None:
-        """Time a collection, as the garbage collector begins and ends it."""
+    def gc_callback(self, phase: str, _: dict[str, int]) -> None:
+        """Time a garbage collection; called at its start and at its end."""
         if phase == "start":
-            self.collection_begun = time.monotonic_ns()
-        elif self.collection_begun:
-            self.collected += time.monotonic_ns() - self.collection_begun
-            self.collection_begun = 0
+            self.gc_started_at = time.monotonic_ns()
+        elif self.gc_started_at:
+            self.gc_time += time.monotonic_ns() - self.gc_started_at
+            self.gc_started_at = 0
 
-    def timed(self, name: str, call: Callable[..., Any], *args: Any) -> None:
-        """Make a call and note it if it is the longest of the iteration."""
+    def time_call(self, name: str, call: Callable[..., Any], *args: Any) -> None:
+        """Call `call` and record it if it is the longest call of the iteration so far."""
         start = time.monotonic_ns()
         call(*args)
-        span = time.monotonic_ns() - start
-        if span > self.longest.span:
-            self.longest = TimedCall(span, name)
+        duration = time.monotonic_ns() - start
+        if duration > self.longest_call.duration:
+            self.longest_call = TimedCall(duration, name)
 
     def guard(self, call: Callable[..., None], *args: Any) -> None:
-        """Time EventLoop.guard()."""
-        self.timed(getattr(call, "__qualname__", "call"), self.loop_guard, call, *args)
+        """Call EventLoop.guard() and time it."""
+        self.time_call(getattr(call, "__qualname__", "call"), self.loop_guard, call, *args)
 
     def switch(self, task: Task) -> None:
-        """Time EventLoop.switch()."""
-        self.timed("task", self.loop_switch, task)
+        """Call EventLoop.switch() and time it."""
+        self.time_call("task", self.loop_switch, task)
 
     def work(self, ready: list[tuple[int, int]]) -> int:
-        """Run one iteration after its poll; return its lag, as EventLoop.work() does."""
-        self.collected = 0
-        self.longest = NO_CALL
+        """Call EventLoop.work() and time it; return the lag, as that does."""
+        self.gc_time = 0
+        self.longest_call = NO_CALL
         cpu_start = time.thread_time_ns()
         start = time.monotonic_ns()
         lag = self.loop_work(ready)
-        span = time.monotonic_ns() - start
-        if len(self.spans) < MAX_SPANS:
-            self.spans.append(span)
-        if max(span, lag) > self.late:
-            cpu = time.thread_time_ns() - cpu_start
+        duration = time.monotonic_ns() - start
+        if len(self.durations) < MAX_DURATIONS:
+            self.durations.append(duration)
+        if max(duration, lag) > LATE_THRESHOLD_NS:
+            cpu_time = time.thread_time_ns() - cpu_start
             self.log(
-                f"slow-iteration ms={span / MS:.1f} late_ms={lag / MS:.1f} "
-                f"cpu_ms={cpu / MS:.1f} gc_ms={self.collected / MS:.1f} "
-                f"ready={len(ready)} longest={self.longest.name} "
-                f"longest_ms={self.longest.span / MS:.1f}"
+                f"slow-iteration ms={duration / MS:.1f} late_ms={lag / MS:.1f} "
+                f"cpu_ms={cpu_time / MS:.1f} gc_ms={self.gc_time / MS:.1f} "
+                f"ready={len(ready)} longest={self.longest_call.name} "
+                f"longest_ms={self.longest_call.duration / MS:.1f}"
             )
         return lag
 
     def summary(self) -> str:
         """Return the number of iterations since the last summary, and quantiles of their time."""
-        spans = sorted(self.spans)
-        self.spans = []
-        if not spans:
+        durations = sorted(self.durations)
+        self.durations = []
+        if not durations:
             return "rounds=0"
-        fields = [f"rounds={len(spans)}"]
+        fields = [f"rounds={len(durations)}"]
         for name, quantile in QUANTILES.items():
-            index = min(len(spans) - 1, int(len(spans) * quantile))
-            fields.append(f"{name}_ms={spans[index] / MS:.2f}")
+            index = min(len(durations) - 1, int(len(durations) * quantile))
+            fields.append(f"{name}_ms={durations[index] / MS:.2f}")
         return " ".join(fields)
--- a/claycross/net/task_signal.py
+++ b/claycross/net/task_signal.py
@@ -1,4 +1,4 @@
-"""A signal from one task to another (not a signal of the operating system)."""
+"""Wakes one task of the event loop from another (unrelated to operating system signals)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Signal:
-    """Parks one task until it is set; a signal that was set before does not park the task."""
+    """An event that one task waits for; wait() returns at once if it is already set."""
 
     def __init__(self, loop: EventLoop):
         self.loop = loop
@@ -14,22 +14,27 @@
         self.is_set = False
 
     def set(self) -> None:
-        """Wake the task that waits, or the next one that would."""
+        """Set the signal and wake the waiting task, if there is one."""
         self.is_set = True
         self.loop.wake(self.task)
 
-    def wait(self, span: int = 0) -> bool:
-        """Wait for `span` at most (0: for ever) and clear the signal; return whether it was set."""
+    def wait(self, timeout: int = 0) -> bool:
+        """Wait until the signal is set, and clear it; return whether it was set.
+
+        Args:
+            timeout: The longest wait in nanoseconds; 0 means no limit.
+        """
         if not self.is_set:
-            self._park(span)
+            self._park(timeout)
         was_set = self.is_set
         self.is_set = False
         return was_set
 
-    def _park(self, span: int) -> None:
+    def _park(self, timeout: int) -> None:
+        """Park the current task until set() or the timeout wakes it."""
         task = self.loop.current_task()
         self.task = task
-        timer = self.loop.call_later(span, lambda: self.loop.wake(task)) if span else None
+        timer = self.loop.call_later(timeout, lambda: self.loop.wake(task)) if timeout else None
         self.loop.park()
         self.task = None
         if timer:
--- a/claycross/net/timers.py
+++ b/claycross/net/timers.py
@@ -1,4 +1,4 @@
-"""Timers in a hashed timer wheel (Varghese and Lauck, 1987), with coarse ticks."""
+"""A hashed timer wheel (Varghese and Lauck, 1987) with coarse ticks."""
 
 from __future__ import annotations
 
@@ -6,54 +6,59 @@
 
 from .clock import MS
 
-TICK = 2 * MS  # resolution of the wheel
-SLOTS = 512  # of the wheel: with this tick one revolution takes about a second
+TICK_NS = 2 * MS  # resolution of the wheel
+SLOT_COUNT = 512  # one revolution of the wheel takes about a second
 
 
 class Timer:
-    """A call that is due at a tick of the wheel."""
+    """A callback that is due at a tick of the wheel."""
 
-    __slots__ = ("call", "due")
+    __slots__ = ("call", "due_tick")
 
-    def __init__(self, due: int, call: Callable[[], None]):
-        self.due = due  # in ticks
-        self.call: Callable[[], None] | None = call  # None: cancelled
+    def __init__(self, due_tick: int, call: Callable[[], None]):
+        self.due_tick = due_tick
+        self.call: Callable[[], None] | None = call  # None once the timer is cancelled
 
     def cancel(self) -> None:
-        """Make sure that the call is not made any more."""
+        """Cancel the timer: its callback is not called any more."""
         self.call = None
 
 
 class TimerWheel:
-    """Hashed wheel: a timer waits in the slot of its tick, for as many revolutions as it takes."""
+    """Timers by the slot of their tick.
+
+    A timer that is due later than one revolution stays in its slot for several.
+    """
 
     def __init__(self, now: int):
-        self.slots: list[list[Timer]] = [[] for _ in range(SLOTS)]
-        self.tick = now // TICK  # the last tick that expire() has served
+        self.slots: list[list[Timer]] = [[] for _ in range(SLOT_COUNT)]
+        self.tick = now // TICK_NS  # the last tick that expire() has processed
 
     def add(self, due: int, call: Callable[[], None]) -> Timer:
-        """Add a timer that is due at this time, in nanoseconds; it is never early."""
-        due_tick = -(-due // TICK)  # rounded up
+        """Add a timer that is due at a time in nanoseconds; it may expire late, never early."""
+        due_tick = -(-due // TICK_NS)  # rounded up
         timer = Timer(max(due_tick, self.tick + 1), call)
-        self.slots[timer.due % SLOTS].append(timer)
+        self.slots[timer.due_tick % SLOT_COUNT].append(timer)
         return timer
 
-    def next_due(self) -> int:
+    def next_due_tick(self) -> int:
         """Return the tick of the next timer, at most one revolution from the current tick."""
-        for tick in range(self.tick + 1, self.tick + SLOTS):
-            if any(timer.due <= tick and timer.call for timer in self.slots[tick % SLOTS]):
+        for tick in range(self.tick + 1, self.tick + SLOT_COUNT):
+            if any(
+                timer.due_tick <= tick and timer.call for timer in self.slots[tick % SLOT_COUNT]
+            ):
                 return tick
-        return self.tick + SLOTS
+        return self.tick + SLOT_COUNT
 
     def expire(self, now: int) -> list[Timer]:
-        """Remove and return the timers that are due at this time, the earliest first."""
-        last = now // TICK
+        """Remove the timers that are due at this time and return them, the earliest first."""
+        last_tick = now // TICK_NS
         due: list[Timer] = []
-        # Once round the wheel serves every slot, however long ago the last call was.
-        for tick in range(max(self.tick + 1, last - SLOTS + 1), last + 1):
-            slot = self.slots[tick % SLOTS]
+        # One revolution covers every slot, however long ago the last call was.
+        for tick in range(max(self.tick + 1, last_tick - SLOT_COUNT + 1), last_tick + 1):
+            slot = self.slots[tick % SLOT_COUNT]
             if slot:
-                due += [timer for timer in slot if timer.due <= last and timer.call]
-                slot[:] = [timer for timer in slot if timer.due > last and timer.call]
-        self.tick = max(self.tick, last)
-        return sorted(due, key=lambda timer: timer.due)
+                due += [timer for timer in slot if timer.due_tick <= last_tick and timer.call]
+                slot[:] = [timer for timer in slot if timer.due_tick > last_tick and timer.call]
+        self.tick = max(self.tick, last_tick)
+        return sorted(due, key=lambda timer: timer.due_tick)
--- a/tests/net/test_stall_detection.py
+++ b/tests/net/test_stall_detection.py
@@ -1,5 +1,7 @@
-"""A process that was held up, by SIGSTOP here, counts the time that requests spent waiting for
-it."""
+"""Time that requests spend waiting for a stalled process counts against their time limits.
+
+Most tests stall the process with SIGSTOP.
+"""
 
 import contextlib
 import os
@@ -10,26 +12,30 @@
 from hypothesis import strategies as st
 
 from claycross.emulator.system_faults import Field, SystemFaults
-from claycross.net.stall_detection import STALL_THRESHOLD, ready_since
+from claycross.net.clock import MS
+from claycross.net.stall_detection import STALL_THRESHOLD_NS, earliest_ready_time
 from standins.servers import Engine, chat, eventually, passes
 from tests.frontends.test_pipelining import request
 from tests.gateway.test_crossings import dialling, full_queue, stopped
 
+REQUEST_TIMEOUT_MS = 6000  # the default of request()
+TOLERANCE_MS = 150
+
 
-@pytest.mark.parametrize("span", [0.5, 1.5])
-def test_an_engine_is_told_what_is_left_to_the_client_after_the_process_was_held_up(site, span):
+@pytest.mark.parametrize("stall", [0.5, 1.5])
+def test_the_timeout_sent_to_an_engine_excludes_the_time_of_a_stall(site, stall):
     writer = Engine("d")
     s = site(Engine("p"), writer, release=True)
     assert s.chat(cls="licence").status == 200
     with s.client() as c:
         with stopped(s.process):
             c.sock.sendall(request("waits"))
-            passes(span)
+            passes(stall)
         assert c.answer().status == 200
-    assert int(writer.asked[1]["x-timeout-ms"]) <= 6000 - 1000 * span + 150
+    assert int(writer.asked[1]["x-timeout-ms"]) <= REQUEST_TIMEOUT_MS - 1000 * stall + TOLERANCE_MS
 
 
-def test_time_in_the_listening_socket_counts_while_nothing_is_accepted(site, tmp_path):
+def test_time_in_the_listen_queue_counts_while_accepting_fails(site, tmp_path):
     faults = SystemFaults(tmp_path, "n0")
     writer = Engine("d")
     s = site(Engine("p"), writer, release=True, environment=faults.environment())
@@ -40,12 +46,12 @@
         passes(1.0)
         faults.clear()
         assert c.answer().status == 200
-    assert int(writer.asked[1]["x-timeout-ms"]) <= 6000 - 1000 + 150
+    assert int(writer.asked[1]["x-timeout-ms"]) <= REQUEST_TIMEOUT_MS - 1000 + TOLERANCE_MS
 
 
-def test_a_request_whose_time_ends_while_the_process_is_held_up_is_refused_as_ever(site):
-    """The module's own answer comes before the core's last resort, though both are due in one
-    round."""
+def test_a_request_that_expires_during_a_stall_is_rejected_as_usual(site):
+    """The router's deadline and the request manager's fallback come due in the same iteration. The
+    router must respond first: the fallback breaks the invariant `answered-in-time`."""
     s = site(Engine("p", plan=lambda engine, message, wire: wire.gone()), Engine("d"), release=True)
     with s.client() as c:
         c.sock.sendall(request("waits", cls="browse", timeout=700))
@@ -61,31 +67,32 @@
     st.lists(st.tuples(st.integers(0, 300), st.integers(0, 100), st.integers(0, 400)), max_size=20),
     st.data(),
 )
-def test_what_is_found_is_never_said_to_be_much_younger_than_it_is(rounds, data):
-    """Work, the span of a poll and how long it took, in milliseconds; bytes come at any moment
-    since the poll before found none."""
-    ms, polled, now = 1_000_000, 0, 0
-    for work, span, took in rounds:
-        begun = now + work * ms
-        now = begun + took * ms
-        came = data.draw(st.integers(polled, now))
+def test_the_ready_time_is_later_than_the_arrival_by_a_bounded_time(iterations, data):
+    """Each iteration has the duration of its work, the timeout of its poll and the duration of the
+    poll, in milliseconds. Bytes arrive at any time since the previous poll returned."""
+    last_poll_at, now = 0, 0
+    for work, timeout, poll_duration in iterations:
+        poll_started_at = now + work * MS
+        now = poll_started_at + poll_duration * MS
+        arrived_at = data.draw(st.integers(last_poll_at, now))
         assert (
-            ready_since(polled, begun, span * ms, now)
-            <= max(came, polled) + STALL_THRESHOLD + span * ms
+            earliest_ready_time(last_poll_at, poll_started_at, timeout * MS, now)
+            <= arrived_at + STALL_THRESHOLD_NS + timeout * MS
         )
-        polled = now
+        last_poll_at = now
 
 
-def test_a_process_that_runs_as_it_should_counts_nothing():
-    assert ready_since(0, 1_000_000, 100_000_000, 90_000_000) == 90_000_000
+def test_without_a_stall_the_ready_time_is_the_end_of_the_poll():
+    assert earliest_ready_time(0, 1 * MS, 100 * MS, 90 * MS) == 90 * MS
 
 
 @pytest.mark.parametrize("more", [b"", b"P"])
-def test_nothing_goes_out_for_a_client_whose_end_came_in_the_same_round_as_the_connection(
+def test_no_request_is_sent_for_a_client_that_closed_while_the_connection_was_established(
     site, more
 ):
-    """Both are found as the process runs again; which is handed out first is up to the order in
-    which their sockets were registered, which more bytes from the client change."""
+    """After a stall one poll reports both that the client closed and that the connection to the
+    engine is established. Which is handled first depends on the order in which their sockets were
+    registered; more bytes from the client change that order."""
     reader = Engine(
         "p", backlog=0, plan=lambda engine, message, wire: passes(0.7) or wire.reply(202)
     )
@@ -111,22 +118,22 @@
 
 
 def until_connected(listener, pid):
-    """Accepts until the process's own connection is among what was accepted."""
+    """Accept connections until one of this process is among them; return all of them."""
     listener.settimeout(4)
-    found = []
+    connections = []
     while True:
         connection, peer = listener.accept()
-        found.append(connection)
+        connections.append(connection)
         if owns(pid, peer[1]):
-            return found
+            return connections
 
 
 def owns(pid, port):
-    """Whether a TCP socket of the process has this local port."""
-    held = {os.readlink(entry) for entry in pathlib.Path(f"/proc/{pid}/fd").iterdir()}
+    """Return whether a TCP socket of the process has this local port."""
+    descriptors = {os.readlink(entry) for entry in pathlib.Path(f"/proc/{pid}/fd").iterdir()}
     for line in pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
-        if int(fields[1].rpartition(":")[2], 16) == port and f"socket:[{fields[9]}]" in held:
+        if int(fields[1].rpartition(":")[2], 16) == port and f"socket:[{fields[9]}]" in descriptors:
             return True
     return False
 
