--- a/claycross/net/http1.py
+++ b/claycross/net/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages, chunked bodies and event streams as state machines that are fed bytes.
+"""Parsers for HTTP/1.1 messages, chunked bodies and event streams: state machines fed bytes.
 
-Nothing malformed is repaired: it raises MalformedMessageError with the status to respond with. The
-module knows no socket and no clock, and keeps a bounded number of bytes.
+Malformed input is never repaired: it raises MalformedMessageError with the status to respond with.
+The parsers use no socket and no clock, and buffer a bounded number of bytes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     "LAST_CHUNK",
     "MAX_BODY",
     "MAX_HEAD",
-    "MOST_INTERIM",
+    "MAX_INTERIM_RESPONSES",
     "Body",
     "ChunkedBodyParser",
     "End",
@@ -33,8 +33,8 @@
 
 MAX_HEAD = 16_384  # bytes of a start line with its headers, and of a chunked body's trailers
 MAX_BODY = 262_144  # bytes
-MAX_LINE = 256  # bytes of a chunk's size line
-MOST_INTERIM = 8  # 1xx responses ahead of one
+MAX_CHUNK_LINE_BYTES = 256  # a chunk's size line, or a line of the trailers
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
 CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 REQUEST_LINE = re.compile(r"([A-Z]{1,20}) ([!-~]+) HTTP/1\.([01])\Z")
@@ -42,16 +42,16 @@
 CONTENT_LENGTH = re.compile(r"[0-9]{1,12}")
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?\Z", re.DOTALL)
 PARTIAL_CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{0,8}[ \t]*(?:;.*)?\r?\Z", re.DOTALL)
-SINGLE_HEADERS = ("content-length", "transfer-encoding", "host")  # they may not be repeated
+SINGLE_HEADERS = ("content-length", "transfer-encoding", "host")  # may not be repeated
 LINE_END = b"\r\n"
 HEAD_END = b"\r\n\r\n"
-FIRST_FINAL_STATUS = 200  # those below are interim
+FIRST_FINAL_STATUS = 200  # lower statuses are interim
 SWITCHING_PROTOCOLS = 101
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class MalformedMessageError(Exception):
-    """What arrived is no message of this protocol, or larger than allowed."""
+    """The input is not a valid message of the protocol, or exceeds a limit."""
 
     def __init__(self, status: int, message: str):
         super().__init__(message)
@@ -65,18 +65,18 @@
     method: str = ""
     target: str = ""
     status: int = 0
-    minor: int = 1  # version of HTTP/1
+    minor: int = 1  # minor version of HTTP/1
     headers: dict[str, str] = field(default_factory=dict)
     raw_headers: list[tuple[str, str]] = field(
         default_factory=list
-    )  # as they arrived, names included
+    )  # as received, with the case of the names
 
     def get(self, name: str, default: str = "") -> str:
-        """Return a header's value."""
+        """Return the value of a header; `name` is in lower case."""
         return self.headers.get(name, default)
 
     def keeps_alive(self) -> bool:
-        """Return whether the connection is kept after the message (RFC 9112, 9.3)."""
+        """Return whether the connection persists after the message (RFC 9112, 9.3)."""
         options = {option.strip().lower() for option in self.get("connection").split(",")}
         return "close" not in options and (self.minor == 1 or "keep-alive" in options)
 
@@ -97,7 +97,7 @@
 
 
 class ChunkState(StrEnum):
-    """What comes next in a chunked body."""
+    """What a chunked body continues with."""
 
     SIZE = "size"
     DATA = "data"
@@ -105,7 +105,7 @@
     TRAILER = "trailer"
 
 
-# Members as module constants: looking them up in the enum costs time for every chunk.
+# Module constants, as a lookup in the enum would cost time for every chunk.
 CHUNK_STATE_SIZE = ChunkState.SIZE
 CHUNK_STATE_DATA = ChunkState.DATA
 CHUNK_STATE_DATA_END = ChunkState.DATA_END
@@ -113,52 +113,52 @@
 
 
 class ChunkedBodyParser:
-    """A chunked body (RFC 9112, 7.1); `over` once the last chunk arrived."""
+    """Parses a chunked body (RFC 9112, 7.1); `complete` is set at its end."""
 
-    def __init__(self, largest: int = MAX_BODY) -> None:
-        self.largest = largest  # bytes of one chunk
+    def __init__(self, max_chunk: int = MAX_BODY) -> None:
+        self.max_chunk = max_chunk  # bytes
         self.buffer = b""
         self.state = CHUNK_STATE_SIZE
-        self.left = 0  # bytes of the current chunk
-        self.trailer = 0  # bytes of trailers so far
-        self.over = False
+        self.remaining = 0  # bytes of the current chunk that have not arrived
+        self.trailer_size = 0  # bytes of trailers so far
+        self.complete = False
 
     def at_boundary(self) -> bool:
-        """Return whether no chunk is here in part."""
-        return self.over or (self.state is CHUNK_STATE_SIZE and not self.buffer)
+        """Return whether no chunk has arrived in part."""
+        return self.complete or (self.state is CHUNK_STATE_SIZE and not self.buffer)
 
     def feed(self, data: bytes) -> tuple[list[bytes], bytes]:
-        """Add bytes; return the pieces of the body, and what follows the body."""
+        """Add bytes; return the new pieces of the body, and the bytes after its end."""
         self.buffer += data
         pieces: list[bytes] = []
-        more = True
-        while more and not self.over:
+        progress = True
+        while progress and not self.complete:
             if self.state is CHUNK_STATE_DATA:
-                more = self.read_data(pieces)
+                progress = self.read_data(pieces)
             elif self.state is CHUNK_STATE_DATA_END:
-                more = self.read_data_end()
+                progress = self.read_data_end()
             else:
-                more = self.read_line()
-        if not self.over:
+                progress = self.read_line()
+        if not self.complete:
             return pieces, b""
         rest = self.buffer
         self.buffer = b""
         return pieces, rest
 
     def read_data(self, pieces: list[bytes]) -> bool:
-        """Take a piece of a chunk."""
+        """Parse a piece of a chunk's data; return False if more input is needed."""
         if not self.buffer:
             return False
-        piece = self.buffer[: self.left]
-        self.buffer = self.buffer[self.left :]
-        self.left -= len(piece)
+        piece = self.buffer[: self.remaining]
+        self.buffer = self.buffer[self.remaining :]
+        self.remaining -= len(piece)
         pieces.append(piece)
-        if not self.left:
+        if not self.remaining:
             self.state = CHUNK_STATE_DATA_END
         return True
 
     def read_data_end(self) -> bool:
-        """Take the end of line behind a chunk."""
+        """Parse the end of line after a chunk's data; return False if more input is needed."""
         if self.buffer in (b"", b"\r"):
             return False
         if not self.buffer.startswith(LINE_END):
@@ -168,7 +168,7 @@
         return True
 
     def read_line(self) -> bool:
-        """Take a chunk's size line, or a line of the trailers."""
+        """Parse a size line or a line of the trailers; return False if more input is needed."""
         line, line_end, rest = self.buffer.partition(LINE_END)
         if not line_end:
             self.check_partial_line()
@@ -177,43 +177,43 @@
         if self.state is CHUNK_STATE_SIZE:
             self.read_size(line)
         elif not line:
-            self.over = True
+            self.complete = True
         else:
-            self.trailer += len(line)
-            if self.trailer > MAX_HEAD or b":" not in line:
+            self.trailer_size += len(line)
+            if self.trailer_size > MAX_HEAD or b":" not in line:
                 raise MalformedMessageError(400, "bad trailer")
         return True
 
     def check_partial_line(self) -> None:
-        """Reject a line that is malformed already, as its end may never arrive."""
-        if len(self.buffer) > MAX_LINE:
+        """Reject a partial line that is already malformed, as its end may never arrive."""
+        if len(self.buffer) > MAX_CHUNK_LINE_BYTES:
             raise MalformedMessageError(400, "a chunk's size line is too long")
         if self.state is CHUNK_STATE_SIZE and not PARTIAL_CHUNK_SIZE.match(self.buffer):
             raise MalformedMessageError(400, "a chunk's size is no number")
 
     def read_size(self, line: bytes) -> None:
-        """Parse a chunk's size line; a size of 0 ends the body."""
+        """Parse a chunk's size line; after a size of 0 the trailers follow."""
         size = CHUNK_SIZE.match(line)
         if not size:
             raise MalformedMessageError(400, "a chunk's size is no number")
-        self.left = int(size[1], 16)
-        if self.left > self.largest:
+        self.remaining = int(size[1], 16)
+        if self.remaining > self.max_chunk:
             raise MalformedMessageError(413, "a chunk is too large")
-        self.state = CHUNK_STATE_DATA if self.left else CHUNK_STATE_TRAILER
+        self.state = CHUNK_STATE_DATA if self.remaining else CHUNK_STATE_TRAILER
 
 
 class MessageState(StrEnum):
-    """What comes next on a connection."""
+    """What the bytes on a connection continue with."""
 
     HEAD = "head"
     LENGTH = "length"  # a body of a given length
     CHUNKED = "chunked"
     UNTIL_CLOSE = "to-close"  # a body that ends with the connection
-    COMPLETE = "whole"  # the message is complete, which has not been reported yet
-    END = "end"  # it has been
+    COMPLETE = "whole"  # the message is complete, but End has not been returned yet
+    END = "end"  # the message is complete, and End has been returned
 
 
-# Members as module constants: looking them up in the enum costs time for every chunk.
+# Module constants, as a lookup in the enum would cost time for every chunk.
 STATE_HEAD = MessageState.HEAD
 STATE_LENGTH = MessageState.LENGTH
 STATE_CHUNKED = MessageState.CHUNKED
@@ -226,9 +226,9 @@
 
 
 class MessageParser:
-    """Requests (or, with `responses`, responses) one after the other on one connection.
+    """Parses the successive requests (or, with `responses`, the responses) of a connection.
 
-    It stops after each complete message, keeping what follows; `next()` goes on with that.
+    It stops after each complete message and buffers what follows, which `next()` parses.
     """
 
     def __init__(
@@ -239,34 +239,34 @@
         self.max_chunk = max_chunk
         self.buffer = b""
         self.state = STATE_HEAD
-        self.left = 0  # bytes of a body of a given length
-        self.size = 0  # bytes of the body so far
+        self.remaining = 0  # bytes of a body of a given length that have not arrived
+        self.body_size = 0  # bytes of the body so far
         self.checked = 0  # bytes of the buffer that are valid lines of a partial head
-        self.chunks = ChunkedBodyParser()
-        self.head_count = 0  # heads so far
-        self.head = Head()  # of the current message, or the last one
+        self.chunked_body = ChunkedBodyParser()
+        self.head_count = 0  # heads parsed so far, interim ones included
+        self.head = Head()  # of the current message, or else of the last one
 
     def idle(self) -> bool:
-        """Return whether no part of a next message is here."""
+        """Return whether no part of the next message has arrived."""
         return self.state is STATE_HEAD and not self.buffer
 
     def at_boundary(self) -> bool:
-        """Return whether no head, chunk or body of a given length is here in part."""
+        """Return whether no head, chunk or body of a given length has arrived in part."""
         if self.state is STATE_CHUNKED:
-            return self.chunks.at_boundary()
+            return self.chunked_body.at_boundary()
         return self.state is STATE_UNTIL_CLOSE or self.idle()
 
     def next(self) -> list[Part]:
-        """Return the parts of the next message that are here already."""
+        """Return the parts of the next message that have arrived already."""
         if self.state is STATE_END:
             self.state = STATE_HEAD
         return self.feed(b"")
 
     def feed(self, data: bytes) -> list[Part]:
-        """Add bytes; return the parts of the current message that are new.
+        """Add bytes; return the new parts of the current message.
 
         Raises:
-            MalformedMessageError: If it is no message of this protocol, or too large.
+            MalformedMessageError: If the message is malformed or too large.
         """
         self.buffer += data
         parts: list[Part] = []
@@ -286,10 +286,10 @@
         return parts
 
     def eof(self) -> list[Part]:
-        """Note that the peer has ended its sending.
+        """Handle the end of the peer's sending; return the End of a body that this completes.
 
         Raises:
-            MalformedMessageError: If a message is here in part.
+            MalformedMessageError: If a message has arrived in part.
         """
         if self.state is STATE_UNTIL_CLOSE:
             self.state = STATE_END
@@ -313,7 +313,7 @@
         start_line, *lines = self.buffer[:end].split(LINE_END)
         self.buffer = self.buffer[end + len(HEAD_END) :]
         self.checked = 0
-        head = self.start_line(start_line.decode("latin-1"))
+        head = self.parse_start_line(start_line.decode("latin-1"))
         self.head = head
         self.head_count += 1
         for line in lines:
@@ -322,12 +322,12 @@
         return head
 
     def check_partial_head(self) -> None:
-        """Reject a head that is malformed already, as its end may never arrive.
+        """Reject a partial head that is already malformed, as its end may never arrive.
 
-        What is no message is known by its first bytes, and a line by its end.
+        The first bytes are checked at once, and each line once it is complete.
         """
         if self.responses and not self.buffer.startswith(b"HTTP/1."[: len(self.buffer)]):
-            raise MalformedMessageError(502, "no status line")
+            raise MalformedMessageError(502, "the response has no valid status line")
         if b"\n" in self.buffer[self.checked :].replace(LINE_END, b""):
             raise MalformedMessageError(400, "a line ends without CR")
         while True:
@@ -338,7 +338,7 @@
             if self.checked:
                 self.split_header(line)
             else:
-                self.start_line(line.decode("latin-1"))
+                self.parse_start_line(line.decode("latin-1"))
             self.checked = end + len(LINE_END)
 
     def add_header(self, head: Head, line: bytes) -> None:
@@ -362,12 +362,12 @@
             raise MalformedMessageError(400, "a header line is malformed")
         return name, value
 
-    def start_line(self, line: str) -> Head:
+    def parse_start_line(self, line: str) -> Head:
         """Parse a request line or a status line."""
         if self.responses:
             match = STATUS_LINE.match(line)
             if not match:
-                raise MalformedMessageError(502, "no status line")
+                raise MalformedMessageError(502, "the response has no valid status line")
             return Head(status=int(match[2]), minor=int(match[1]))
         match = REQUEST_LINE.match(line)
         if not match:
@@ -375,14 +375,14 @@
         return Head(method=match[1], target=match[2], minor=int(match[3]))
 
     def choose_framing(self, head: Head) -> None:
-        """Decide how the body ends (RFC 9112, 6.3).
+        """Determine how the body ends (RFC 9112, 6.3).
 
-        A length together with chunks, or one that is no number, is rejected: request smuggling
-        works with these.
+        A length together with a transfer coding, or a length that is not a number, is rejected, as
+        both allow request smuggling.
         """
         coding = head.headers.get("transfer-encoding")
         length = head.headers.get("content-length")
-        self.size = 0
+        self.body_size = 0
         if coding is not None and (
             coding.lower() != "chunked" or length is not None or not head.minor
         ):
@@ -396,59 +396,61 @@
             self.state = STATE_COMPLETE
         elif coding:
             self.state = STATE_CHUNKED
-            self.chunks = ChunkedBodyParser(self.max_chunk)
+            self.chunked_body = ChunkedBodyParser(self.max_chunk)
         elif length is not None:
-            self.left = int(length)
-            if self.left > self.max_body:
+            self.remaining = int(length)
+            if self.remaining > self.max_body:
                 raise MalformedMessageError(413, "the body is too large")
-            self.state = STATE_LENGTH if self.left else STATE_COMPLETE
+            self.state = STATE_LENGTH if self.remaining else STATE_COMPLETE
         else:
             self.state = STATE_UNTIL_CLOSE if self.responses else STATE_COMPLETE
 
     def check_interim(self, head: Head) -> None:
-        """Reject interim responses without end, and a change of the protocol."""
-        if head.status == SWITCHING_PROTOCOLS or self.head_count > MOST_INTERIM:
-            raise MalformedMessageError(502, "interim answers without end, or another protocol")
+        """Reject too many interim responses, and a switch of protocols."""
+        if head.status == SWITCHING_PROTOCOLS:
+            raise MalformedMessageError(502, "the server switches protocols")
+        if self.head_count > MAX_INTERIM_RESPONSES:
+            raise MalformedMessageError(502, "too many interim responses")
 
     # ------------------------------------------------------------ the body
 
     def read_body(self, parts: list[Part]) -> None:
-        """Take what is here of the body."""
+        """Add the pieces of the body that have arrived to `parts`."""
         for piece in self.body_pieces():
             if piece:
-                self.size += len(piece)
+                self.body_size += len(piece)
                 parts.append(Body(piece))
-        if self.size > self.max_body:
+        if self.body_size > self.max_body:
             raise MalformedMessageError(413, "the body is too large")
 
     def body_pieces(self) -> list[bytes]:
-        """Return the pieces of the body that are here, and note whether it is complete."""
+        """Return the pieces of the body that have arrived, and set the state if it is complete."""
         if self.state is STATE_CHUNKED:
-            pieces, self.buffer = self.chunks.feed(self.buffer)
-            if self.chunks.over:
+            pieces, self.buffer = self.chunked_body.feed(self.buffer)
+            if self.chunked_body.complete:
                 self.state = STATE_COMPLETE
             return pieces
         if self.state is STATE_UNTIL_CLOSE:
             piece = self.buffer
             self.buffer = b""
             return [piece]
-        piece = self.buffer[: self.left]
-        self.buffer = self.buffer[self.left :]
-        self.left -= len(piece)
-        if not self.left:
+        piece = self.buffer[: self.remaining]
+        self.buffer = self.buffer[self.remaining :]
+        self.remaining -= len(piece)
+        if not self.remaining:
             self.state = STATE_COMPLETE
         return [piece]
 
 
 class PipelineValidator:
-    """Checks whether the requests behind the current one are valid so far; it keeps none."""
+    """Checks whether the requests after the current one are valid so far; it stores none."""
 
     def __init__(self) -> None:
         self.messages = MessageParser()
         self.malformed = False
 
     def feed(self, data: bytes) -> None:
-        """Add bytes; once they are malformed nothing that follows counts."""
+        """Add bytes; they are ignored once the input is malformed."""
         if self.malformed:
             return
         try:
@@ -460,22 +462,22 @@
 
 
 class EventStreamParser:
-    """A server-sent event stream, cut at the ends of events."""
+    """Splits a server-sent event stream at the ends of its events."""
 
     def __init__(self) -> None:
-        self.buffer = b""  # an event that is not complete
+        self.buffer = b""  # the incomplete event
 
     def feed(self, data: bytes) -> bytes:
         """Add bytes; return the events that have become complete."""
         buffer = self.buffer + data
-        end = max(end_of_last(buffer, b"\n\n"), end_of_last(buffer, b"\n\r\n"))
+        end = max(end_of_last_match(buffer, b"\n\n"), end_of_last_match(buffer, b"\n\r\n"))
         if len(buffer) - end > MAX_BODY:
             raise MalformedMessageError(502, "an event is too large")
         self.buffer = buffer[end:]
         return buffer[:end]
 
 
-def end_of_last(buffer: bytes, separator: bytes) -> int:
-    """Return the position behind the last separator; 0 if there is none."""
+def end_of_last_match(buffer: bytes, separator: bytes) -> int:
+    """Return the position after the last occurrence of the separator; 0 if there is none."""
     start = buffer.rfind(separator)
     return start + len(separator) if start >= 0 else 0
--- a/claycross/net/http2.py
+++ b/claycross/net/http2.py
@@ -1,7 +1,7 @@
-"""HTTP/2 towards a server (RFC 9113), as a state machine that is fed bytes.
+"""The client side of HTTP/2 (RFC 9113), as a state machine that is fed bytes.
 
-It uses the h2 library and adds bounds on what a server may send. The module knows no socket and no
-clock, and not where a stream goes.
+It uses the h2 library and limits what a server may send. It uses no socket and no clock, and does
+not choose the connection of a stream.
 """
 
 from __future__ import annotations
@@ -21,30 +21,31 @@
 from hyperframe.exceptions import HyperframeError
 from hyperframe.frame import Frame, GoAwayFrame
 
-from .http1 import MAX_HEAD, MOST_INTERIM, MalformedMessageError
+from .http1 import MAX_HEAD, MAX_INTERIM_RESPONSES, MalformedMessageError
 
-FRAME_HEAD = 9  # bytes (RFC 9113, 4.1)
+FRAME_HEADER_BYTES = 9  # RFC 9113, 4.1
 MAX_FRAME = 16_384  # bytes of a frame's payload
-# Types of frames.
-DATA = 0x0
-HEADERS = 0x1
-PRIORITY = 0x2
-SETTINGS = 0x4
-GOAWAY = 0x7
-END_STREAM = 0x1  # flag
+# Frame types.
+DATA_FRAME = 0x0
+HEADERS_FRAME = 0x1
+PRIORITY_FRAME = 0x2
+SETTINGS_FRAME = 0x4
+GOAWAY_FRAME = 0x7
+END_STREAM_FLAG = 0x1
 STREAM_ID_MASK = 0x7FFF_FFFF  # the highest bit is reserved
-DEFAULT_WINDOW = 65_535  # of a connection (RFC 9113, 6.9.2)
-# Of a connection: a slow stream must take room from no other; its own window bounds it.
-CONNECTION_WINDOW = 2**30
-UNLIMITED = 2**31  # a limit of streams that the server did not set
-MAX_WRITE = 65_536  # bytes that pending() returns at once
-# Closed streams that are remembered: the library's 65,536 would be megabytes for each connection.
-REMEMBERED_STREAMS = 1024
-MAX_DEBUG_DATA = 80  # bytes kept of a GOAWAY frame's debug data
-MAX_ERROR_TEXT = 200  # characters
+DEFAULT_WINDOW_BYTES = 65_535  # of a connection (RFC 9113, 6.9.2)
+# Window of a connection. Large enough that a slow stream never blocks the others: only its own
+# window limits it.
+CONNECTION_WINDOW_BYTES = 2**30
+UNLIMITED_STREAMS = 2**31  # stands for a limit of streams that the server did not set
+MAX_WRITE_BYTES = 65_536  # returned by pending() at once
+# Closed streams that the library remembers; its default of 65,536 takes megabytes per connection.
+REMEMBERED_CLOSED_STREAMS = 1024
+MAX_DEBUG_DATA_BYTES = 80  # kept of a GOAWAY frame's debug data
+MAX_ERROR_TEXT_LENGTH = 200  # characters
 STATUS_DIGITS = 3
-PING_DATA = b"claycros"  # eight bytes
-# Headers that are new with each request: in the table of header compression they would only
+PING_DATA = b"claycros"  # eight bytes, as RFC 9113, 6.7 requires
+# Headers whose values differ for each request: in the dynamic table of HPACK they would only
 # displace others.
 NEVER_INDEXED = {"x-request-id", "x-timeout-ms", "x-attrs", "x-route-key", "content-length"}
 REFUSED_STREAM = int(h2.errors.ErrorCodes.REFUSED_STREAM)
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class SettingsReceived:
-    """The server's own SETTINGS arrived: the connection preface is complete."""
+    """The server's first SETTINGS arrived: its connection preface is complete."""
 
     limit: int  # of concurrent streams
 
@@ -79,7 +80,7 @@
 
     stream: int
     data: bytes
-    flow_controlled_bytes: int  # bytes of the window that it occupies, until acknowledge_data()
+    flow_controlled_bytes: int  # taken from the windows until acknowledge_data()
 
 
 @dataclass(slots=True)
@@ -109,14 +110,14 @@
 class GoAway:
     """The server closes the connection."""
 
-    last_id: int  # of a stream that it has processed, or will
+    last_stream_id: int  # of the last stream that the server has processed or will process
     code: int
-    text: str
+    debug_text: str
 
 
 @dataclass(slots=True)
 class WindowUpdated:
-    """More may be written: on one stream, or (0) on all."""
+    """The server allows more data on a stream, or (stream 0) on all streams."""
 
     stream: int
 
@@ -139,67 +140,68 @@
 
 
 class LiteralEncoder(Encoder):
-    """Encodes headers without Huffman codes.
+    """Encodes headers without Huffman coding.
 
-    These cost a quarter of the time of a request's head, and save bytes that are not scarce between
-    machines side by side.
+    Huffman coding takes a quarter of the time of a request's head, and the bytes that it saves
+    don't matter between neighbouring machines.
     """
 
     def encode(self, headers: Iterable[Any], huffman: bool = False) -> bytes:
-        """Encode headers."""
+        """Encode headers; `huffman` is false unless the caller sets it."""
         encoded: bytes = super().encode(headers, huffman)
         return encoded
 
 
 class ClientConnection(h2.connection.H2Connection):
-    """The library's connection, with a smaller memory of closed streams."""
+    """The library's connection; it remembers fewer closed streams."""
 
-    MAX_CLOSED_STREAMS = REMEMBERED_STREAMS
+    MAX_CLOSED_STREAMS = REMEMBERED_CLOSED_STREAMS
 
 
 class Session:
-    """One connection; after each call that may write, `pending()` has what is to be sent."""
+    """The state of one connection; the caller sends what pending() returns after each call."""
 
     def __init__(self, window: int):
-        """`window`: bytes that the server may send on one stream ahead of acknowledge_data()."""
+        """Start a connection; `window` is the initial window of each stream in bytes."""
         self.h2 = new_connection(window)
-        self.buffer = b""  # received, and not a whole frame yet
-        self.send_buffer = bytearray()  # to be sent
-        self.ready = False  # the server's SETTINGS arrived
-        self.highest = 0  # id of the newest stream
+        self.buffer = b""  # an incomplete frame that was received
+        self.send_buffer = bytearray()
+        self.ready = False  # the server's first SETTINGS arrived
+        self.newest_stream = 0  # its id
         self.control_frames = 0  # since the last take_control_frame_count()
-        self.interim: dict[int, int] = {}  # 1xx responses so far, by stream
-        self.written_so_far = 0  # bytes of all that was to be sent
-        self.queued = 0  # bytes of all that was or is to be sent
-        # The position behind the last byte of each request that is not sent, and its stream.
-        self.ends: deque[tuple[int, int]] = deque()
+        self.interim_counts: dict[int, int] = {}  # 1xx responses so far, by stream
+        self.sent_bytes = 0  # since the start
+        self.queued_bytes = 0  # since the start, those that were sent included
+        # Requests that are queued as a whole and not completely sent: the value of sent_bytes at
+        # which each is sent, and its stream.
+        self.unsent_requests: deque[tuple[int, int]] = deque()
         self.h2.initiate_connection()
-        self.h2.increment_flow_control_window(CONNECTION_WINDOW - DEFAULT_WINDOW)
-        self.collect()
+        self.h2.increment_flow_control_window(CONNECTION_WINDOW_BYTES - DEFAULT_WINDOW_BYTES)
+        self.queue_output()
 
-    # ------------------------------------------------------------ what is written
+    # ------------------------------------------------------------ sending
 
-    def collect(self) -> None:
-        """Take what the library has to send."""
+    def queue_output(self) -> None:
+        """Move what the library has to send to the send buffer."""
         data = self.h2.data_to_send()
         self.send_buffer += data
-        self.queued += len(data)
+        self.queued_bytes += len(data)
 
     def pending(self) -> bytes:
-        """Return the next bytes to be sent."""
-        return bytes(self.send_buffer[:MAX_WRITE])
+        """Return the next bytes to send, MAX_WRITE_BYTES at most."""
+        return bytes(self.send_buffer[:MAX_WRITE_BYTES])
 
     def mark_sent(self, count: int) -> list[int]:
-        """Note that so many bytes of pending() were sent.
+        """Remove `count` bytes of pending() that were sent.
 
-        Returns the streams whose requests are completely sent by that.
+        Returns the streams whose requests are now completely sent.
         """
         del self.send_buffer[:count]
-        self.written_so_far += count
-        done = []
-        while self.ends and self.ends[0][0] <= self.written_so_far:
-            done.append(self.ends.popleft()[1])
-        return done
+        self.sent_bytes += count
+        sent_streams = []
+        while self.unsent_requests and self.unsent_requests[0][0] <= self.sent_bytes:
+            sent_streams.append(self.unsent_requests.popleft()[1])
+        return sent_streams
 
     def send_head(
         self,
@@ -207,9 +209,9 @@
         target: str,
         authority: str,
         headers: Iterable[tuple[str, str]],
-        size: int,
+        body_size: int,
     ) -> int:
-        """Write the head of a request with a body of `size` bytes; return its stream."""
+        """Queue the head of a request; return the id of its new stream."""
         head: list[Any] = [  # pairs, or the library's own tuples
             (":method", method),
             (":scheme", "http"),
@@ -222,127 +224,127 @@
                 head.append(NeverIndexedHeaderTuple(key, value))
             else:
                 head.append((key, value))
-        if size or method in ("POST", "PUT"):
-            head.append(NeverIndexedHeaderTuple("content-length", str(size)))
+        if body_size or method in ("POST", "PUT"):
+            head.append(NeverIndexedHeaderTuple("content-length", str(body_size)))
         stream: int = self.h2.get_next_available_stream_id()
-        self.h2.send_headers(stream, head, end_stream=not size)
-        self.highest = stream
-        self.collect()
-        if not size:
-            self.ends.append((self.queued, stream))
+        self.h2.send_headers(stream, head, end_stream=not body_size)
+        self.newest_stream = stream
+        self.queue_output()
+        if not body_size:
+            self.unsent_requests.append((self.queued_bytes, stream))
         return stream
 
     def send_window(self, stream: int) -> int:
-        """Return how many bytes of a body the windows allow now."""
+        """Return how many bytes of a stream's body the server's windows allow now."""
         return max(0, self.h2.local_flow_control_window(stream))
 
     def send_body(self, stream: int, data: memoryview, last: bool) -> None:
-        """Write a piece of a body, of at most send_window() bytes."""
-        size = self.h2.max_outbound_frame_size
-        for start in range(0, len(data), size):
-            end = start + size
+        """Queue a piece of a body, of at most send_window() bytes."""
+        frame_size = self.h2.max_outbound_frame_size
+        for start in range(0, len(data), frame_size):
+            end = start + frame_size
             is_end = last and end >= len(data)
             self.h2.send_data(stream, bytes(data[start:end]), end_stream=is_end)
-        self.collect()
+        self.queue_output()
         if last:
-            self.ends.append((self.queued, stream))
+            self.unsent_requests.append((self.queued_bytes, stream))
 
     def acknowledge_data(self, stream: int, flow_controlled_bytes: int) -> None:
-        """Note that bytes of the stream were consumed: the server may send as many again."""
+        """Allow the server to send as many bytes again, as these were consumed."""
         if flow_controlled_bytes:
             self.h2.acknowledge_received_data(flow_controlled_bytes, stream)
-            self.collect()
+            self.queue_output()
 
     def reset(self, stream: int) -> None:
-        """Reset a stream that has not ended, whatever still arrives on it."""
+        """Reset a stream, unless it has ended; what still arrives on it is ignored."""
         try:
             self.h2.reset_stream(stream, h2.errors.ErrorCodes.CANCEL)
         except h2.exceptions.ProtocolError:
-            return  # it has ended on both sides meanwhile
-        self.collect()
+            return  # both sides have ended it
+        self.queue_output()
 
     def ping(self) -> None:
-        """Ask for a sign of life."""
+        """Queue a PING, which a live server acknowledges."""
         self.h2.ping(PING_DATA)
-        self.collect()
+        self.queue_output()
 
     def send_goaway(self) -> None:
-        """Announce that this side closes the connection."""
+        """Queue a GOAWAY, which announces that this side closes the connection."""
         self.h2.close_connection()
-        self.collect()
+        self.queue_output()
 
-    # ------------------------------------------------------------ what comes
+    # ------------------------------------------------------------ receiving
 
     def feed(self, data: bytes) -> list[Event]:
-        """Add bytes and return the events in them.
+        """Add bytes; return the events of the frames that are complete.
 
-        GOAWAY frames are read here and not by the library, which takes nothing more on a connection
-        after one, while streams at or under its last id go on to their ends.
+        GOAWAY frames are parsed here and not by the library, which accepts nothing more on a
+        connection after one, while streams up to its last id continue to their ends.
 
         Raises:
-            MalformedMessageError: If the connection can't go on.
+            MalformedMessageError: If the connection can't be used any longer.
         """
         self.buffer += data
         events: list[Event] = []
         if self.buffer.startswith(b"HTTP/1."):
-            raise Http1ResponseError(502, "HTTP/1 is spoken there")
-        start = 0  # of the frames that the library has not been given
+            raise Http1ResponseError(502, "the server responded in HTTP/1")
+        start = 0  # of the frames that were not passed to the library yet
         position = 0
-        while len(self.buffer) - position >= FRAME_HEAD:
+        while len(self.buffer) - position >= FRAME_HEADER_BYTES:
             size = int.from_bytes(self.buffer[position : position + 3], "big")
-            kind = self.buffer[position + 3]
-            self.check_frame(position, size, kind)
-            end = position + FRAME_HEAD + size
+            frame_type = self.buffer[position + 3]
+            self.check_frame(position, size, frame_type)
+            end = position + FRAME_HEADER_BYTES + size
             if len(self.buffer) < end:
                 break
-            if self.is_control_frame(position, size, kind):
+            if self.is_control_frame(position, size, frame_type):
                 self.control_frames += 1
-            if kind == GOAWAY:
-                self.through(self.buffer[start:position], events)
-                events.append(self.read_goaway(self.buffer[position:end]))
+            if frame_type == GOAWAY_FRAME:
+                self.pass_to_library(self.buffer[start:position], events)
+                events.append(self.parse_goaway(self.buffer[position:end]))
                 start = end
             elif not self.ready:
-                self.through(self.buffer[start:end], events)
+                self.pass_to_library(self.buffer[start:end], events)
                 start = end
             position = end
         complete = self.buffer[start:position]
         self.buffer = self.buffer[position:]
-        self.through(complete, events)
+        self.pass_to_library(complete, events)
         return events
 
-    def check_frame(self, position: int, size: int, kind: int) -> None:
-        """Reject a frame that no valid connection has, by its head."""
+    def check_frame(self, position: int, size: int, frame_type: int) -> None:
+        """Reject a frame whose header is invalid at this point of the connection."""
         stream = int.from_bytes(self.buffer[position + 5 : position + 9], "big") & STREAM_ID_MASK
         if size > MAX_FRAME:
             raise MalformedMessageError(502, "a frame is too large")
-        if not self.ready and kind != SETTINGS:
-            raise MalformedMessageError(502, "no settings at the start")
-        if stream > self.highest and kind != PRIORITY:
+        if not self.ready and frame_type != SETTINGS_FRAME:
+            raise MalformedMessageError(502, "the first frame is not SETTINGS")
+        if stream > self.newest_stream and frame_type != PRIORITY_FRAME:
             raise MalformedMessageError(502, f"a frame on stream {stream}, which was never opened")
 
-    def is_control_frame(self, position: int, size: int, kind: int) -> bool:
-        """Return whether a frame carries nothing of a response."""
-        if kind == DATA:
-            return not size and not self.buffer[position + 4] & END_STREAM
-        return kind != HEADERS
+    def is_control_frame(self, position: int, size: int, frame_type: int) -> bool:
+        """Return whether a frame carries no part of a response; empty DATA frames count too."""
+        if frame_type == DATA_FRAME:
+            return not size and not self.buffer[position + 4] & END_STREAM_FLAG
+        return frame_type != HEADERS_FRAME
 
-    def read_goaway(self, data: bytes) -> GoAway:
+    def parse_goaway(self, data: bytes) -> GoAway:
         """Parse a GOAWAY frame."""
         try:
-            frame, _ = Frame.parse_frame_header(memoryview(data[:FRAME_HEAD]))
-            frame.parse_body(memoryview(data[FRAME_HEAD:]))
+            frame, _ = Frame.parse_frame_header(memoryview(data[:FRAME_HEADER_BYTES]))
+            frame.parse_body(memoryview(data[FRAME_HEADER_BYTES:]))
         except (HyperframeError, ValueError) as error:
-            raise MalformedMessageError(502, f"a GOAWAY that can't be read: {error}") from None
+            raise MalformedMessageError(502, f"malformed GOAWAY frame: {error}") from None
         if not isinstance(frame, GoAwayFrame) or frame.stream_id:
-            raise MalformedMessageError(502, "a GOAWAY on a stream")
+            raise MalformedMessageError(502, "GOAWAY frame on a stream")
         return GoAway(
             frame.last_stream_id,
             frame.error_code,
-            bytes(frame.additional_data[:MAX_DEBUG_DATA]).decode("latin-1"),
+            bytes(frame.additional_data[:MAX_DEBUG_DATA_BYTES]).decode("latin-1"),
         )
 
-    def through(self, frames: bytes, events: list[Event]) -> None:
-        """Give whole frames to the library and add the events in them."""
+    def pass_to_library(self, frames: bytes, events: list[Event]) -> None:
+        """Pass complete frames to the library and add their events."""
         if not frames:
             return
         try:
@@ -354,25 +356,25 @@
             KeyError,
             IndexError,
         ) as error:
-            self.collect()
+            self.queue_output()
             text = f"{type(error).__name__} {error}"
-            raise MalformedMessageError(502, text[:MAX_ERROR_TEXT]) from None
+            raise MalformedMessageError(502, text[:MAX_ERROR_TEXT_LENGTH]) from None
         for event in received:
             self.translate(event, events)
-        self.collect()
+        self.queue_output()
 
     def translate(self, event: h2.events.Event, events: list[Event]) -> None:
-        """Add the library's event, if it matters here."""
+        """Add an event of the library in the types of this module, or ignore it."""
         match event:
             case h2.events.DataReceived():
                 events.append(Data(event.stream_id, event.data, event.flow_controlled_length))
             case h2.events.ResponseReceived():
                 events.append(self.response_head(event))
             case h2.events.StreamEnded():
-                self.interim.pop(event.stream_id, None)
+                self.interim_counts.pop(event.stream_id, None)
                 events.append(Ended(event.stream_id))
             case h2.events.StreamReset():
-                self.interim.pop(event.stream_id, None)
+                self.interim_counts.pop(event.stream_id, None)
                 if event.remote_reset:
                     events.append(Reset(event.stream_id, int(event.error_code)))
             case h2.events.TrailersReceived():
@@ -384,29 +386,29 @@
             case h2.events.WindowUpdated():
                 events.append(WindowUpdated(event.stream_id))
             case _:
-                pass  # PING, its answer, SETTINGS acknowledged, PRIORITY, ALTSVC, unknown frames
+                pass  # PING, acknowledgements, PRIORITY, ALTSVC and unknown frames
 
     def response_head(self, event: h2.events.ResponseReceived) -> ResponseHead:
         """Return the head of a response."""
         headers = join_headers(event.headers)
         status = headers.get(":status", "")
         if not (status.isdigit() and len(status) == STATUS_DIGITS):
-            raise MalformedMessageError(502, "no status")
-        self.interim.pop(event.stream_id, None)
+            raise MalformedMessageError(502, "the response has no valid status")
+        self.interim_counts.pop(event.stream_id, None)
         return ResponseHead(event.stream_id, int(status), headers)
 
     def count_interim(self, stream: int) -> None:
-        """Reject interim responses without end."""
-        count = self.interim.get(stream, 0) + 1
-        self.interim[stream] = count
-        if count > MOST_INTERIM:
-            raise MalformedMessageError(502, "interim answers without end")
+        """Count an interim response; reject the stream's responses if there are too many."""
+        count = self.interim_counts.get(stream, 0) + 1
+        self.interim_counts[stream] = count
+        if count > MAX_INTERIM_RESPONSES:
+            raise MalformedMessageError(502, "too many interim responses")
 
     def settings_changed(self, event: h2.events.RemoteSettingsChanged, events: list[Event]) -> None:
-        """Add what the server's SETTINGS change."""
+        """Add the events of changed SETTINGS of the server."""
         codes = h2.settings.SettingCodes
         changed = event.changed_settings.get(codes.MAX_CONCURRENT_STREAMS)
-        limit = changed.new_value if changed else UNLIMITED
+        limit = changed.new_value if changed else UNLIMITED_STREAMS
         if not self.ready:
             self.ready = True
             events.append(SettingsReceived(limit))
@@ -416,19 +418,20 @@
             events.append(WindowUpdated(0))
 
     def take_control_frame_count(self) -> int:
-        """Return the number of frames that carried nothing since the last call."""
-        noise = self.control_frames
+        """Return the number of control frames since the last call."""
+        count = self.control_frames
         self.control_frames = 0
-        return noise
+        return count
 
 
 def new_connection(window: int) -> ClientConnection:
-    """Return the library's connection with our SETTINGS."""
+    """Return a connection of the library with this client's SETTINGS."""
     connection = ClientConnection(
         h2.config.H2Configuration(
             client_side=True,
             header_encoding="latin-1",
-            # What is sent was validated when it arrived (http1.py), and is in lower case here.
+            # Headers were validated on arrival (http1.py), and send_head() converts them to lower
+            # case.
             validate_outbound_headers=False,
             normalize_outbound_headers=False,
         )
@@ -444,13 +447,13 @@
             codes.MAX_HEADER_LIST_SIZE: MAX_HEAD,
         },
     )
-    # Otherwise the limit would hold only once the server has acknowledged the SETTINGS.
+    # Otherwise the limit applies only once the server has acknowledged the SETTINGS.
     connection.decoder.max_header_list_size = MAX_HEAD
     return connection
 
 
 def join_headers(headers: Iterable[Any]) -> dict[str, str]:
-    """Return one entry for each name, with the values joined, as HTTP/1.1's heads are kept."""
+    """Return one entry per name with its values joined, as in http1.Head."""
     joined: dict[str, str] = {}
     for name, value in headers:
         joined[name] = f"{joined[name]}, {value}" if name in joined else value
--- a/claycross/net/line_protocol.py
+++ b/claycross/net/line_protocol.py
@@ -1,7 +1,7 @@
-"""Line-based protocols as state machines fed bytes: operators' calls, and JSON values of a watch.
+"""Line-based protocols as state machines: operator commands, and the JSON values of a watch.
 
-The module knows the framing of calls and values and the bounds on their length; no socket, no
-clock, and not what they mean.
+The parsers are fed bytes. They know the framing of commands and values and the limits on their
+length, but not their meaning, and use no socket and no clock.
 """
 
 from __future__ import annotations
@@ -9,50 +9,50 @@
 import re
 from dataclasses import dataclass
 
-MAX_COMMAND = 512  # bytes of a call with its end of line
-JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # it never contains an end of line
+MAX_COMMAND_BYTES = 512  # with the end of line
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a JSON string never contains an end of line
 
 
 class LineTooLongError(Exception):
-    """A call or a value did not end within its bound."""
+    """A command or a value is longer than its limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A call as the operator sent it: its name and what follows, without the end of line."""
+    """An operator command: its name, and the rest of the line without the end of line."""
 
     name: str
     argument: str
 
 
 class CommandParser:
-    """Takes the bytes of one call as they arrive, cut anywhere."""
+    """Parses one command from bytes that arrive in pieces of any size."""
 
-    def __init__(self, longest: int = MAX_COMMAND):
-        self.longest = longest
+    def __init__(self, max_bytes: int = MAX_COMMAND_BYTES):
+        self.max_bytes = max_bytes
         self.buffer = bytearray()
         self.done = False
 
     def feed(self, data: bytes) -> Command | None:
-        """Add bytes; return the call once its line is complete.
+        """Add bytes; return the command once its line is complete.
 
         Raises:
             LineTooLongError: If the line is too long.
         """
         if self.done:
-            return None  # there is one call a connection: what follows it is not read
+            return None  # each connection carries one command: what follows it is ignored
         line_end = data.find(b"\n")
-        taken = data if line_end < 0 else data[:line_end]
-        if len(self.buffer) + len(taken) >= self.longest:
+        line = data if line_end < 0 else data[:line_end]
+        if len(self.buffer) + len(line) >= self.max_bytes:
             self.done = True
-            raise LineTooLongError(f"a call is at most {self.longest - 1} bytes")
-        self.buffer += taken
+            raise LineTooLongError(f"a call is at most {self.max_bytes - 1} bytes")
+        self.buffer += line
         if line_end < 0:
             return None
         return self.end()
 
     def end(self) -> Command | None:
-        """Return the call at the end of the input; a last line without its end counts too."""
+        """Return the command at the end of the input, where its line may lack the end of line."""
         if self.done:
             return None
         self.done = True
@@ -62,50 +62,51 @@
 
 
 class JsonValueParser:
-    """JSON values one after the other, each on a line or, indented, on several.
+    """Splits a stream into JSON values, each on one line or, indented, on several.
 
-    A blank line between two values is returned as b"": the sender is alive. Whether a value is
-    valid JSON is left to the caller.
+    A blank line between two values is returned as b"", as it shows that the sender is alive. The
+    caller checks whether a value is valid JSON.
     """
 
-    def __init__(self, longest: int):
-        self.longest = longest
-        self.line = b""  # the last one, which is not complete
-        self.lines: list[bytes] = []  # of the current value
-        self.depth = 0  # of nesting behind these lines
-        self.size = 0  # of these lines, bytes
+    def __init__(self, max_bytes: int):
+        self.max_bytes = max_bytes
+        self.partial_line = b""
+        self.lines: list[bytes] = []  # complete lines of the current value
+        self.depth = 0  # nesting at the end of these lines
+        self.size = 0  # bytes of these lines
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes; return the values that are complete.
+        """Add bytes; return the values that have become complete.
 
         Raises:
             LineTooLongError: If a value is too long.
         """
-        *complete, self.line = (self.line + data).split(b"\n")
+        *complete, self.partial_line = (self.partial_line + data).split(b"\n")
         values = []
         for line in complete:
-            value = self.add(line)
+            value = self.add_line(line)
             if value is not None:
                 values.append(value)
-        if self.is_complete_without_line_end():
+        if self.partial_line_ends_value():
             values.append(self.end())
-        if self.size + len(self.line) > self.longest:
-            raise LineTooLongError(f"a value without end, over {self.longest} bytes")
+        if self.size + len(self.partial_line) > self.max_bytes:
+            raise LineTooLongError(f"a JSON value is longer than {self.max_bytes} bytes")
         return values
 
-    def is_complete_without_line_end(self) -> bool:
-        """Return whether the value is complete, though its end of line has not arrived."""
-        return self.line.rstrip().endswith(b"}") and self.depth + nesting(self.line) == 0
+    def partial_line_ends_value(self) -> bool:
+        """Return whether the value is complete although its end of line has not arrived."""
+        line = self.partial_line
+        return line.rstrip().endswith(b"}") and self.depth + nesting_change(line) == 0
 
-    def add(self, line: bytes) -> bytes | None:
-        """Add a line; return the value that ends with it."""
+    def add_line(self, line: bytes) -> bytes | None:
+        """Add a line; return the value if the line completes it."""
         self.lines.append(line)
         self.size += len(line) + 1
-        self.depth += nesting(line)
-        return None if self.depth > 0 else self.take()
+        self.depth += nesting_change(line)
+        return None if self.depth > 0 else self.take_value()
 
-    def take(self) -> bytes:
-        """Return the current value and begin the next."""
+    def take_value(self) -> bytes:
+        """Return the current value and start the next one."""
         value = b"\n".join(self.lines).strip()
         self.lines = []
         self.depth = 0
@@ -113,27 +114,27 @@
         return value
 
     def end(self) -> bytes:
-        """Return what there is at the end of the input, complete or not."""
-        self.lines.append(self.line)
-        self.line = b""
-        return self.take()
+        """Return the rest of the input, a complete value or not."""
+        self.lines.append(self.partial_line)
+        self.partial_line = b""
+        return self.take_value()
 
 
-def nesting(line: bytes) -> int:
-    """Return how many objects and lists a line opens, less those that it closes."""
-    bare = JSON_STRING.sub(b"", line)
-    opened = bare.count(b"{") + bare.count(b"[")
-    closed = bare.count(b"}") + bare.count(b"]")
+def nesting_change(line: bytes) -> int:
+    """Return the number of objects and arrays that a line opens minus those that it closes."""
+    without_strings = JSON_STRING.sub(b"", line)
+    opened = without_strings.count(b"{") + without_strings.count(b"[")
+    closed = without_strings.count(b"}") + without_strings.count(b"]")
     return opened - closed
 
 
 def ok(text: str = "") -> bytes:
-    """Return the reply of a call that succeeded."""
+    """Return the reply to a command that succeeded."""
     return reply(True, text)
 
 
 def fail(text: str) -> bytes:
-    """Return the reply of a call that failed."""
+    """Return the reply to a command that failed."""
     return reply(False, text)
 
 
@@ -145,6 +146,6 @@
 
 
 def block(success: bool, lines: list[str]) -> bytes:
-    """Return a reply of many lines: the first is ok or fail, the last eof."""
+    """Return a reply of several lines: the first is ok or fail, the last one eof."""
     body = "".join(line + "\n" for line in lines).encode()
     return reply(success, "") + body + b"eof\n"
