--- a/claycross/gateway/operator_commands.py
+++ b/claycross/gateway/operator_commands.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-from ..net.line_protocol import block, fail, ok
+from ..net.line_protocol import fail, multiline_reply, ok
 from ..net.loop import MS
 from ..recovery.administrative_ejection import CommandResult
 from ..recovery.persisted_state import ChangeKind, StateChange
@@ -72,7 +72,7 @@
         """Handle `vars`: the metrics in Prometheus' text format."""
         if self.statistics.metrics is None:
             return fail("no figures here")
-        return block(True, self.statistics.metrics.lines())
+        return multiline_reply(True, self.statistics.metrics.lines())
 
     # ------------------------------------------------------------ ejection
 
--- a/claycross/net/line_protocol.py
+++ b/claycross/net/line_protocol.py
@@ -145,7 +145,7 @@
     return line.replace("\r", " ").replace("\n", " ").encode() + b"\n"
 
 
-def block(success: bool, lines: list[str]) -> bytes:
+def multiline_reply(success: bool, lines: list[str]) -> bytes:
     """Return a reply of several lines: the first is ok or fail, the last one eof."""
     body = "".join(line + "\n" for line in lines).encode()
     return reply(success, "") + body + b"eof\n"
