--- a/claycross/requests/__init__.py
+++ b/claycross/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Life cycle of requests and attempts, preconditions, and the release of what engines reserve."""
+"""Life cycle of requests and attempts, their preconditions, and the release of reserved states."""
--- a/claycross/requests/attempt_checks.py
+++ b/claycross/requests/attempt_checks.py
@@ -1,7 +1,7 @@
 """Whether an attempt may begin and be sent, and whether a request may be answered as rejected.
 
-The router asks the rules of preconditions.py before it decides. They are asked again here, at the
-moment of the deed and with what this gateway itself knows by then.
+The router applies the rules of preconditions.py before it decides. They are applied again here,
+right before the action is taken, to what this gateway knows by then.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class AttemptChecks:
-    """Makes attempts, and checks them against the rules."""
+    """Creates attempts and checks them against the preconditions."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self.metrics = metrics
 
     def new_attempt(self, request: Request, action: i.StartAttempt) -> Attempt:
-        """The record of an attempt that the router asks for."""
+        """Create the record of an attempt that the router asks for."""
         now = self.clock.now()
         endpoint = self.directory.endpoints.get(action.engine)
         role = self.settings.roles.get(endpoint.machine_kind) if endpoint else None
@@ -51,9 +51,9 @@
         )
 
     def check_start(self, attempt: Attempt) -> preconditions.Denial | None:
-        """Why a new attempt may not begin, if so.
+        """Return why a new attempt may not begin; None: it may.
 
-        An invariant is breached where the router should never have asked for it.
+        A denial that the router should have foreseen is reported as a violated invariant.
         """
         request = attempt.request
         facts = preconditions.StartFacts(
@@ -79,10 +79,10 @@
         return denial
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the first byte of an attempt may be sent; asked at that moment.
+        """Tell whether the first byte of an attempt may be sent; called right before it is sent.
 
-        While it was connecting a drain may have been announced, its client may have left, or the
-        window in which it may run again may have ended.
+        While the attempt was connecting, its engine may have begun to drain, its client may have
+        disconnected, or the window in which the request may be retried may have ended.
         """
         request = attempt.request
         facts = preconditions.SendFacts(
@@ -92,7 +92,7 @@
             engine=self.directory.endpoints.get(attempt.engine),
             not_after=attempt.not_after,
             now=self.clock.now(),
-            state_held=not attempt.needs_state or request.reservation.may_be_used(),
+            state_held=not attempt.needs_state or request.reservation.state_may_exist(),
         )
         denial = preconditions.check_send(facts)
         if denial:
@@ -100,7 +100,7 @@
         return denial is None
 
     def may_reject(self, request: Request) -> bool:
-        """Whether a request may be answered as rejected; the router should not ask for it else."""
+        """Tell whether a request may be answered as rejected; if not, an invariant is violated."""
         spec = self.settings.classes.get(request.class_name)
         denial = None
         if spec:
@@ -108,9 +108,13 @@
         return invariant(not denial, "may-refuse", f"request {request.key}: {denial}")
 
     def effective_attempts(self, request: Request) -> list[preconditions.EarlierAttempt]:
-        """The attempts of a request that may have run, by what was seen of them here."""
+        """Return the attempts of a request that may have run, as far as this gateway knows."""
         return [
-            preconditions.EarlierAttempt(a.started_at, a.endpoint.zone, a.endpoint.cell)
-            for a in request.attempts
-            if a.endpoint and not a.connecting() and preconditions.may_have_run(a.is_read, a.result)
+            preconditions.EarlierAttempt(
+                attempt.started_at, attempt.endpoint.zone, attempt.endpoint.cell
+            )
+            for attempt in request.attempts
+            if attempt.endpoint
+            and not attempt.connecting()
+            and preconditions.may_have_run(attempt.is_read, attempt.result)
         ]
--- a/claycross/requests/endpoint_directory.py
+++ b/claycross/requests/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The engines that are listed now, and when each last answered this gateway.
+"""The engines in the endpoint list, and when each last responded to this gateway.
 
 Reads no clock and does no I/O: times are nanoseconds and come in as arguments.
 """
@@ -12,7 +12,7 @@
 from .. import interface as i
 from .state_release import RelayCandidate
 
-MAX_RELAY_CANDIDATES = 128  # engines that are considered as relays of one release
+MAX_RELAY_CANDIDATES = 128  # engines considered as relays of one release
 
 
 class EndpointDirectory:
@@ -21,11 +21,11 @@
     def __init__(self, random: Random) -> None:
         self.random = random
         self.endpoints: dict[str, i.EngineEndpoint] = {}
-        # Engines -> when they last answered this gateway, the latest last.
+        # Engine -> time of its last response, ordered from oldest to latest.
         self.last_response: dict[str, int] = {}
 
     def update(self, event: i.EndpointListUpdate) -> None:
-        """Take over a new list, or changes to it."""
+        """Apply a new endpoint list, or changes to the present one."""
         replaces_list = event.kind in (i.UpdateKind.FULL, i.UpdateKind.SAVED)
         if replaces_list:
             self.endpoints.clear()
@@ -40,20 +40,20 @@
                 del self.last_response[engine]
 
     def engine_responded(self, engine: str, now: int) -> None:
-        """Note that the engine has answered: its machine and the way there work."""
+        """Record a response of the engine, which shows that it runs and is reachable."""
         if engine in self.endpoints:
-            self.last_response.pop(engine, None)  # so that it becomes the last entry
+            self.last_response.pop(engine, None)  # moves it to the end
             self.last_response[engine] = now
 
     def relay_candidates(self) -> Iterator[RelayCandidate]:
-        """Engines that may be asked to relay a release to another engine."""
+        """Yield the engines that may be asked to relay a release to another engine."""
         for endpoint in self._sample():
             if endpoint.state == i.EngineState.READY:
                 last_response = self.last_response.get(endpoint.engine, 0)
                 yield RelayCandidate(endpoint.engine, endpoint.zone, last_response)
 
     def _sample(self) -> Iterator[i.EngineEndpoint]:
-        """All of a small list; of a large one those that answered last, and some at random."""
+        """Yield all endpoints; of a long list, the latest to respond and as many at random."""
         if len(self.endpoints) <= MAX_RELAY_CANDIDATES:
             yield from self.endpoints.values()
             return
--- a/claycross/requests/engine_protocol.py
+++ b/claycross/requests/engine_protocol.py
@@ -1,4 +1,4 @@
-"""What the requests package needs of the engine side."""
+"""The interface through which the requests package calls engines."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class EngineCalls(Protocol):
-    """The calls to engines. None of them waits for the engine."""
+    """The calls to engines; none of them blocks until the engine responds."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin the attempt; one `attempt_done` follows, unless it is aborted first."""
+        """Start the attempt; one call of `attempt_done` follows, unless it is aborted first."""
 
     def abort(self, attempt: Attempt) -> bool:
-        """End the attempt without a result. False: it never ran."""
+        """Abort the attempt without a result; False: none of it was sent, so it never ran."""
         ...
 
     def release(
@@ -28,9 +28,9 @@
     ) -> None:
         """Ask the engine to release the request's state.
 
-        `is_wanted` is asked right before the call is written; `finished` is told whether the
-        engine has acknowledged it.
+        `is_wanted` is called right before the call is written, and cancels it by returning False;
+        `finished` receives whether the engine acknowledged the call.
         """
 
     def check_connection(self, engine: str, finished: Callable[[bool], None], /) -> None:
-        """Open and close a connection; `finished` is told whether it came up."""
+        """Open and close a connection; `finished` receives whether it was established."""
--- a/claycross/requests/manager.py
+++ b/claycross/requests/manager.py
@@ -1,9 +1,9 @@
-"""The state machines of requests and attempts: reports events to the router, does what it says.
+"""The state machines of requests and attempts, which execute the router's decisions.
 
-The manager is the one owner of the transitions of requests and attempts (docs/lifecycles.md):
-`finish_request` and `finish_attempt` are the only ways into their terminal states. Where a request
-goes, and whether it is rejected, is decided in routing/router.py. Frontends, engine calls and the
-clock come in as objects; this package knows no protocol and no socket.
+The manager alone makes the transitions of requests and attempts (docs/lifecycles.md), and
+`finish_request` and `finish_attempt` are the only ways into their terminal states. The router
+(routing/router.py) decides where a request goes and whether it is rejected. Frontends, engine calls
+and the clock are injected; this package uses no protocol and no socket.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 
 __all__ = ["Attempt", "Request", "RequestManager"]
 
-MS = 1_000_000
-SECOND = 1_000_000_000
-# After its deadline, until a request that the router left unanswered is failed here.
-DEADLINE_GUARD = 20 * MS
-# After which a silent stream counts as broken. A client may be kept waiting for 5 s after the last
-# event; one that comes again for the rest is served sooner so than by a machine gone silent.
-IDLE_TIMEOUT = 4500 * MS
-IDLE_TIMEOUT_RESUMED = 4 * SECOND
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
+# From the deadline of a request until it is failed here if the router has not answered it.
+DEADLINE_GUARD_NS = 20 * MS
+# A stream without data for this time counts as broken. A client may wait at most 5 s after the last
+# event; where clients resume streams, resuming is faster than waiting for a silent engine.
+IDLE_TIMEOUT_NS = 4500 * MS
+RESUMABLE_IDLE_TIMEOUT_NS = 4 * SECOND
 
 
 class RequestManager(RouterDriver):
-    """The requests of one service, from their arrival to their one final answer."""
+    """Manages the requests of one service from their arrival to their single answer."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         generator = random.Random(seed)
         self.registry = RequestRegistry(generator)
         self.requests = self.registry.requests
-        self.stops_at = 0  # when this gateway will be gone, once that is known
+        self.stops_at = 0  # when a stopping gateway has answered everything; 0: it is not stopping
         self.metrics = RequestMetrics(settings.classes)
         self.counts = self.metrics.counts
         self.reply_counts = self.metrics.reply_counts
@@ -78,7 +78,7 @@
             i.FailRequest: self.fail_request,
         }
 
-    # ------------------------------------------------------------ what other packages look at
+    # ------------------------------------------------------------ used by other packages
 
     @property
     def engine_calls(self) -> EngineCalls:
@@ -101,7 +101,7 @@
 
     @property
     def trace(self) -> Callable[[str], None] | None:
-        """Writes a line for each end of an attempt or request; None: no trace."""
+        """The writer of the trace lines of attempts and requests; None: no trace."""
         return self.metrics.trace
 
     @trace.setter
@@ -117,38 +117,38 @@
         self.metrics.count_frontend_rejection(name)
 
     def ejected_engines(self) -> list[str]:
-        """The engines that the router has ejected as outliers for now."""
+        """Return the engines that the router has ejected as outliers at present."""
         now = self.clock.now()
         engines = self.router.health.engines.values()
         return [engine.id for engine in engines if engine.ejected_until > now]
 
     def pending_releases(self) -> int:
-        """How many releases a gateway that stops has to wait for."""
+        """Return how many releases a stopping gateway has to wait for."""
         return self.state_releases.pending()
 
     def unanswered(self) -> int:
-        """How many requests were accepted and are not answered yet."""
+        """Return how many accepted requests are not answered yet."""
         return sum(not request.finished for request in self.requests.values())
 
     def is_in_flight(self, key: str) -> bool:
-        """Whether a request with this key is not forgotten yet."""
+        """Tell whether a request with this key is still tracked."""
         return key in self.registry.numbers_by_key
 
     def check(self) -> None:
         """Check that each attempt which the router counts as in flight exists here."""
-        if not self.events:  # else the router may not know of an end yet
+        if not self.events:  # a queued event may be the end of an attempt
             self.registry.check_in_flight(self.router.health.engines)
 
     def attempt_reported(self, event: i.AttemptFinished) -> None:
-        """The end of an attempt is about to be reported to the router."""
+        """Record that the result of an attempt is about to be reported to the router."""
         self.requests[event.request].unreported_attempts -= 1
 
     # ------------------------------------------------------------ the client's side
 
     def accept(self, arrival: i.RequestArrived, key: str, payload: Any, reply: Reply) -> Request:
-        """Take a request from a frontend; its one answer goes to `reply`."""
+        """Accept a request from a frontend; its single answer goes to `reply`."""
         now = self.clock.now()
-        if self.stops_at:  # what is still accepted is answered before
+        if self.stops_at:  # a request accepted during shutdown is answered before its end
             arrival.time_left = max(0, min(arrival.time_left, self.stops_at - now))
         arrival.request = self.registry.next_number()
         request = Request(
@@ -165,14 +165,14 @@
         self.registry.add(request)
         self.metrics.request_arrived(request, arrival)
         self._enqueue_arrival(request, arrival)
-        # Guards the rule of one answer in time, should the router ever forget a request.
+        # Ensures an answer in time even if the router fails to answer the request.
         request.deadline_timer = self.clock.call_later(
-            arrival.time_left + DEADLINE_GUARD, partial(self.deadline_passed, request)
+            arrival.time_left + DEADLINE_GUARD_NS, partial(self.deadline_passed, request)
         )
         return request
 
     def _enqueue_arrival(self, request: Request, arrival: i.RequestArrived) -> None:
-        """Report the arrival to the router, at once or when the endpoint list is fresh."""
+        """Report the arrival to the router, now or once the endpoint list is fresh."""
         wait = 0
         if self.list_freshness:
             wait = self.list_freshness.wait(self.clock.now(), arrival.time_left)
@@ -180,10 +180,10 @@
             self.enqueue(arrival)
             return
         self.awaiting_list[request.number] = arrival
-        self.clock.call_later(wait, partial(self.list_wait_over, request))
+        self.clock.call_later(wait, partial(self.list_wait_expired, request))
 
     def admit_waiting(self) -> None:
-        """If the list is fresh, report the requests that waited for it to the router."""
+        """If the endpoint list is fresh, report the requests that waited for it to the router."""
         if not self.awaiting_list or not self.list_freshness:
             return
         if not self.list_freshness.may_send(self.clock.now()):
@@ -194,8 +194,8 @@
             arrival.time_left = max(0, self.requests[number].deadline - self.clock.now())
             self.enqueue(arrival)
 
-    def list_wait_over(self, request: Request) -> None:
-        """Reject a request that has waited for the list for as long as it may."""
+    def list_wait_expired(self, request: Request) -> None:
+        """Reject a request that has waited for a fresh endpoint list for as long as it may."""
         self.admit_waiting()
         if not self.awaiting_list.pop(request.number, None):
             return
@@ -211,8 +211,8 @@
     def deadline_passed(self, request: Request) -> None:
         """Fail a request that the router has not answered by its deadline.
 
-        In a process that was held up this may be due before the router has set its own timer, or in
-        one round with it: the router is told of the deadline first.
+        In a process that was suspended this may be due before the router has set its own timer, or
+        at the same time as that, so the deadline is first reported to the router.
         """
         if not request.is_decided():
             timer = i.Timer(i.TimerKind.REQUEST_DEADLINE, request.number)
@@ -227,7 +227,7 @@
         invariant(False, "answered-in-time", detail)
 
     def client_disconnected(self, request: Request) -> None:
-        """End a request whose client has gone away."""
+        """End a request whose client has disconnected."""
         if request.finished:
             return
         self.finish_request(request, RequestEnd.CLIENT_DISCONNECTED)
@@ -238,7 +238,7 @@
             self.finish_attempt(attempt, i.AttemptResult.CANCELLED)
 
     def reject_request(self, action: i.RejectRequest) -> None:
-        """Answer a request as rejected, if that may be promised; else as failed."""
+        """Answer a request as rejected if a retry of it is safe; otherwise as failed."""
         request = self.requests.get(action.request)
         if not request or request.is_decided():
             return
@@ -260,40 +260,40 @@
             request.reply.fail()
 
     def hand_back_stream(self, request: Request) -> None:
-        """End a stream before its last chunk: its client comes again for the rest."""
+        """End a stream before its last chunk, so that its client requests the rest anew."""
         attempt = request.streaming_attempt
         if attempt and not attempt.finished:
             self.engine_calls.abort(attempt)
             self.attempt_done(attempt, i.AttemptResult.CANCELLED)
 
-    def hand_back_streams(self, turns: int) -> None:
-        """End a share of the streams, so that none is left after `turns` calls.
+    def hand_back_streams(self, remaining_calls: int) -> None:
+        """End a share of the streams, so that none is left after the remaining calls of this.
 
-        For a gateway that stops, and only where clients ask for the rest; those that began last
-        have the most to come and go first.
+        Called in a gateway that stops, and of effect only where clients resume streams. Streams
+        that started last have the most left to send, so they are ended first.
         """
         if not self.settings.clients_resume:
             return
         running = self.registry.running_streams()
         running.sort(key=lambda stream: -stream.started_at)
-        share = -(-len(running) // turns)  # rounded up
-        for attempt in running[:share]:
+        stream_count = -(-len(running) // remaining_calls)  # rounded up
+        for attempt in running[:stream_count]:
             self.count("handed-back")
             self.hand_back_stream(attempt.request)
 
     # ------------------------------------------------------------ the engines' side
 
     def update_endpoints(self, event: i.EndpointListUpdate) -> None:
-        """Take over the endpoint list, or changes to it, and report it to the router."""
+        """Apply the endpoint list, or changes to it, and report it to the router."""
         self.directory.update(event)
         self.enqueue(event)
 
     def engine_responded(self, engine: str) -> None:
-        """Note that the engine has answered: its machine and the way there work."""
+        """Record a response of the engine, which shows that it runs and is reachable."""
         self.directory.engine_responded(engine, self.clock.now())
 
     def start_attempt(self, action: i.StartAttempt) -> None:
-        """Begin an attempt, if nothing forbids it by now."""
+        """Start an attempt unless a precondition denies it by now."""
         request = self.requests[action.request]
         attempt = self.checks.new_attempt(request, action)
         denial = self.checks.check_start(attempt)
@@ -315,7 +315,7 @@
             self.engine_calls.start(attempt)
 
     def _start_read(self, attempt: Attempt) -> None:
-        """Begin a read, after the release of the states that earlier reads have left."""
+        """Start a read, after the release of the states that earlier reads created."""
         reserved_at = attempt.request.reserved_at
         engines = [engine for engine, uncertain in reserved_at.items() if not uncertain]
         reserved_at[attempt.engine] = reserved_at.get(attempt.engine, False)
@@ -330,24 +330,24 @@
         return self.checks.may_send(attempt)
 
     def attempt_sent(self, attempt: Attempt) -> None:
-        """The last byte of an attempt is sent; a write gets time to arrive before a release."""
+        """The last byte of an attempt was sent; a write gets time to arrive before a release."""
         self.metrics.attempts_sent += 1
         request = attempt.request
         if not attempt.is_read and request.reservation_timer:
-            due = request.reservation.due_written(self.clock.now())
+            due = request.reservation.due_after_send(self.clock.now())
             self.state_releases.start_reservation_timer(request, due)
 
     def stream_started(self, attempt: Attempt) -> bool:
-        """The first token of an attempt is here. False: nobody waits for it."""
+        """The first token of an attempt arrived. False: the request no longer waits for it."""
         request = attempt.request
         if attempt.finished or request.is_decided():
             return False
         now = self.clock.now()
         request.streaming_attempt = attempt
         attempt.streaming = True
-        request.first_token_after = now - request.arrived_at
+        request.time_to_first_token = now - request.arrived_at
         self.engine_responded(attempt.engine)
-        # With the first token the engines release everything else by themselves.
+        # With the first token the engines release all states of the request by themselves.
         self.state_releases.clear_reservations(request)
         if attempt.timer:
             attempt.timer.cancel()
@@ -356,18 +356,18 @@
         return True
 
     def forward(self, attempt: Attempt, data: bytes) -> None:
-        """Forward a part of a stream to the client."""
+        """Forward a chunk of a stream to the client."""
         if not attempt.finished:
             attempt.request.reply.write(data)
 
     def idle_timeout(self, attempt: Attempt) -> int:
-        """How long a stream may bring nothing; 0: not started, so the attempt's timeout counts."""
+        """Return the stream's idle timeout; 0: not started, so the attempt's timeout applies."""
         if not attempt.streaming:
             return 0
-        return IDLE_TIMEOUT_RESUMED if self.settings.clients_resume else IDLE_TIMEOUT
+        return RESUMABLE_IDLE_TIMEOUT_NS if self.settings.clients_resume else IDLE_TIMEOUT_NS
 
     def rejected_by_engine(self, attempt: Attempt, status: int) -> None:
-        """Fail a request that an engine can't use; that is no fault of the engine."""
+        """Fail a request that an engine rejects as invalid; that is no failure of the engine."""
         request = attempt.request
         if request.is_decided():
             return
@@ -379,20 +379,20 @@
         self.enqueue(i.RequestAbandoned(request.number))
 
     def attempt_timed_out(self, attempt: Attempt) -> None:
-        """The timeout of an attempt is over."""
+        """End an attempt whose timeout has expired."""
         if not attempt.finished:
-            self._give_up(attempt, i.AttemptResult.TIMEOUT)
+            self._abort_attempt(attempt, i.AttemptResult.TIMEOUT)
 
     def cancel_attempt(self, action: i.CancelAttempt) -> None:
-        """Cancel an attempt that has not begun to stream."""
+        """Cancel an attempt that has not started to stream."""
         request = self.requests.get(action.request)
         if not request or action.attempt >= len(request.attempts):
             return
         attempt = request.attempts[action.attempt]
         if not attempt.finished and not attempt.streaming:
-            self._give_up(attempt, i.AttemptResult.CANCELLED)
+            self._abort_attempt(attempt, i.AttemptResult.CANCELLED)
 
-    def _give_up(self, attempt: Attempt, result: i.AttemptResult) -> None:
+    def _abort_attempt(self, attempt: Attempt, result: i.AttemptResult) -> None:
         was_sent = self.engine_calls.abort(attempt)
         self.finish_attempt(attempt, result if was_sent else i.AttemptResult.CANCELLED_BEFORE_SEND)
 
@@ -403,7 +403,7 @@
         cached_tokens: int = 0,
         report: i.LoadReport | None = None,
     ) -> None:
-        """An attempt has ended at the engine side. A stream's end goes on to its client."""
+        """Finish an attempt that the engine side reports as ended, and its stream if it has one."""
         if attempt.finished:
             return
         request = attempt.request
@@ -418,10 +418,10 @@
     # ------------------------------------------------------------ the terminal states
 
     def finish_request(self, request: Request, end: RequestEnd) -> None:
-        """Make a request terminal; the one way into that state.
+        """Make a request terminal; the only way into that state.
 
-        An attempt that is still connecting never runs: left to itself where the settings permit no
-        cancelling, it was sent for a client that had gone.
+        Attempts that are still connecting are finished too: where the settings permit no
+        cancelling, they would otherwise be sent for a client that has disconnected.
         """
         if not invariant(not request.finished, "one-end", f"request {request.key} {end}"):
             return
@@ -439,7 +439,7 @@
         cached_tokens: int = 0,
         report: i.LoadReport | None = None,
     ) -> None:
-        """Make an attempt terminal and report it to the router; the one way into that state."""
+        """Make an attempt terminal and report it to the router; the only way into that state."""
         request = attempt.request
         detail = f"request {request.key} attempt {attempt.number}"
         if not invariant(not attempt.finished, "one-outcome", detail):
@@ -470,28 +470,28 @@
         )
 
     def is_reserved_again(self, key: str, engine: str) -> bool:
-        """Whether a release at the engine has to wait, as the request needs its state again."""
-        return self.state_releases.must_keep_now(key, engine)
+        """Tell whether the request needs its state at the engine again, so it must be kept."""
+        return self.state_releases.is_state_needed_now(key, engine)
 
     def release_state(self, action: i.ReleaseState) -> None:
-        """Release what engines hold for a request."""
+        """Release the states that engines hold for a request."""
         request = self.requests.get(action.request)
         if request:
             self.state_releases.release_request(request)
 
     def forget_request(self, number: int) -> None:
-        """Forget a request that is over, once the router knows the results of its attempts."""
+        """Remove a finished request once the router knows the results of its attempts."""
         request = self.requests.get(number)
         if not request or not request.finished or request.unreported_attempts:
             return
         self.registry.remove(request)
-        # Guards memory: requests and attempts refer to each other, and the timer to both, so that
-        # bodies of requests long over would wait for the garbage collector, or for deadlines.
+        # Frees memory early: requests, attempts and timers refer to each other, so that bodies of
+        # finished requests would stay until a garbage collection or their deadlines.
         if request.deadline_timer:
             request.deadline_timer.cancel()
         self.state_releases.stop_reservation_timer(request)
         request.payload = None
         request.attempts.clear()
-        detail = f"request {request.key} ended holding at {list(request.reserved_at)}"
+        detail = f"request {request.key} ended with states reserved at {list(request.reserved_at)}"
         if not invariant(not request.reserved_at, "let-go", detail):
             self.state_releases.release_request(request)
--- a/claycross/requests/preconditions.py
+++ b/claycross/requests/preconditions.py
@@ -1,10 +1,10 @@
-"""The rules on whether something may be done now: send, retry, reject, close or begin.
+"""The preconditions of actions: start, send, retry or reject a request, or close a connection.
 
-Each rule is a function of the facts at hand that returns the reason why not, or None. The router
-asks before it decides; the request manager and the frontends ask again at the moment of the deed,
-with what they know themselves, and count what should never have come so far as a breach
-(invariant.py). Nothing here chooses between engines, reads a clock or does I/O: times are
-nanoseconds and come in as arguments.
+Each precondition is a function of known facts that returns the reason for a denial, or None. The
+router checks it before it decides; the request manager and the frontends check it again right
+before the action, with their own knowledge, and report a denial that the router should have
+foreseen as a violated invariant (invariant.py). Nothing here chooses between engines, reads a clock
+or does I/O: times are nanoseconds and come in as arguments.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     RequestClass,
 )
 
-# Results after which an attempt is known not to have run, or to have had no effect.
+# Results that prove that an attempt did not run or had no effect.
 NEVER_RAN = frozenset(
     (
         AttemptResult.ENGINE_FULL,
@@ -33,7 +33,7 @@
         AttemptResult.READ,
     )
 )
-# Results after which nothing of an attempt has reached an engine.
+# Results that prove that nothing of an attempt reached an engine.
 NOT_SENT = frozenset((AttemptResult.CONNECT_FAILED, AttemptResult.LOCAL_ERROR))
 # Results of a read after which its engine holds no state.
 NO_STATE_LEFT = frozenset(
@@ -45,7 +45,7 @@
         AttemptResult.STATE_MISSING,
     )
 )
-# Results without a response of the engine.
+# Results of attempts to which the engine did not respond.
 NO_RESPONSE = frozenset(
     (
         AttemptResult.CONNECT_FAILED,
@@ -56,8 +56,8 @@
     )
 )
 
-# Bound here, since `check_retry` runs once for each engine that is considered for a retry, and
-# access to a member through its class costs more.
+# Module globals, since `check_retry` runs once for each engine that is considered for a retry, and
+# access to an enum member through its class is slower.
 _IDEMPOTENT = Effect.IDEMPOTENT
 _WITH_IDEMPOTENCY_KEY = Effect.WITH_IDEMPOTENCY_KEY
 _SCOPE_ALL = DeduplicationScope.ALL
@@ -66,25 +66,25 @@
 
 
 class Denial(StrEnum):
-    """Why something may not be done now; the values stand in the log and in names of counters."""
+    """Why an action is denied; the values appear in the log and in names of counters."""
 
     ATTEMPT_OVER = "attempt-over"  # timed out, cancelled, or its request has ended
-    REQUEST_OVER = "request-over"  # answered, or its client has left
-    CLIENT_LEFT = "client-left"  # the end of its connection waits to be read
-    STREAMING = "streaming"  # an attempt streams to the client already
+    REQUEST_OVER = "request-over"  # answered, or its client disconnected
+    CLIENT_LEFT = "client-left"  # its connection is closed, which was not processed yet
+    STREAMING = "streaming"  # another attempt already streams to the client
     OUT_OF_TIME = "out-of-time"
     ATTEMPTS_SPENT = "attempts-spent"
-    HEDGE_NOT_ALLOWED = "copy-out"  # another attempt is in flight, and settings permit no second
+    HEDGE_NOT_ALLOWED = "copy-out"  # another attempt is in flight, and hedging is disabled
     ENGINE_UNLISTED = "engine-unlisted"
     ENGINE_DRAINING = "engine-draining"  # or disabled by an operator
     MAY_HAVE_RUN = "may-have-run"  # an earlier attempt of a request that must not run twice
     STATE_RELEASED = "state-released"  # the state that the write needs has been released
-    WINDOW_OVER = "window-over"  # the time within which the engines drop a duplicate
-    OTHER_GROUP = "other-group"  # engines beyond those that know of each other's requests
+    WINDOW_OVER = "window-over"  # the time within which engines deduplicate the request
+    OTHER_GROUP = "other-group"  # the engine is outside the deduplication scope of the first one
     LIST_UNCONFIRMED = "list-unconfirmed"
     DRAINED = "drained"
     STOPPING = "stopping"
-    UNANSWERED = "unanswered"  # a request that was accepted has no answer yet
+    UNANSWERED = "unanswered"  # an accepted request has no answer yet
 
 
 class EarlierAttempt(NamedTuple):
@@ -95,12 +95,12 @@
     cell: int
 
 
-def may_have_run(reads: bool, result: str) -> bool:
-    """Whether an attempt may have had an effect; a read has none.
+def may_have_run(is_read: bool, result: str) -> bool:
+    """Tell whether an attempt may have had an effect; a read has none.
 
     `result`: blank while the attempt is in flight.
     """
-    return not reads and result not in NEVER_RAN
+    return not is_read and result not in NEVER_RAN
 
 
 def check_retry(
@@ -110,9 +110,9 @@
     now: int,
     margin: int,
 ) -> Denial | None:
-    """Whether a request may be sent, or read, although earlier attempts may have run.
+    """Check that a request may be sent or read, although earlier attempts may have run.
 
-    `margin`: how long before its end the window of an idempotency key counts as over.
+    `margin`: time before the idempotency key's expiry at which it already counts as expired.
     """
     first = next(iter(earlier), None)
     if spec.effect == _IDEMPOTENT or first is None:
@@ -129,7 +129,7 @@
 def _in_deduplication_scope(
     scope: DeduplicationScope, first: EarlierAttempt, engine: EngineEndpoint
 ) -> bool:
-    """Whether the engine knows the idempotency keys of the engine of the first attempt."""
+    """Tell whether the engine deduplicates against the engine of the first attempt."""
     if scope == _SCOPE_ALL:
         return True
     if engine.zone != first.zone:
@@ -140,7 +140,7 @@
 
 
 def check_rejection(spec: RequestClass, earlier: Iterable[EarlierAttempt]) -> Denial | None:
-    """Whether a request may be answered as rejected, which promises that a retry does no harm."""
+    """Check that a request may be answered as rejected, which promises that a retry is safe."""
     if spec.effect == _IDEMPOTENT or next(iter(earlier), None) is None:
         return None
     is_deduplicated = (
@@ -154,15 +154,15 @@
 
     attempt_over: bool
     request_over: bool
-    client_left: bool  # by what its socket says now
-    engine: EngineEndpoint | None  # as it is listed now
-    not_after: int  # the end of the attempt's window; 0: none
+    client_left: bool  # by the present state of its socket
+    engine: EngineEndpoint | None  # its present entry in the endpoint list
+    not_after: int  # latest time at which the attempt may be sent; 0: no limit
     now: int
-    state_held: bool = True  # no, where a write finds no state any more
+    state_held: bool = True  # False: the state that the write needs has been released
 
 
 def check_send(facts: SendFacts) -> Denial | None:
-    """Whether the first byte of an attempt may be sent."""
+    """Check that the first byte of an attempt may be sent."""
     denial = None
     if facts.attempt_over:
         denial = Denial.ATTEMPT_OVER
@@ -182,7 +182,7 @@
 
 
 class StartFacts(NamedTuple):
-    """What is known when another attempt of a request is to begin."""
+    """What is known when another attempt of a request is to start."""
 
     request_over: bool
     streaming: bool
@@ -194,7 +194,7 @@
 
 
 def check_start(facts: StartFacts) -> Denial | None:
-    """Whether another attempt of a request may begin, at whichever engine."""
+    """Check that another attempt of a request may start, at any engine."""
     if facts.request_over:
         return Denial.REQUEST_OVER
     if facts.streaming:
@@ -209,14 +209,14 @@
 
 
 def check_close(answered: bool, client_left: bool) -> Denial | None:
-    """Whether a client's connection may be closed with an accepted request on it."""
+    """Check that a client's connection with an accepted request on it may be closed."""
     return None if answered or client_left else Denial.UNANSWERED
 
 
-def check_ready(stopping: bool, drained: bool, list_stands: bool) -> Denial | None:
-    """Whether a process may report itself ready for clients."""
+def check_ready(stopping: bool, drained: bool, list_confirmed: bool) -> Denial | None:
+    """Check that a process may report itself ready for clients."""
     if stopping:
         return Denial.STOPPING
-    if not list_stands:
+    if not list_confirmed:
         return Denial.LIST_UNCONFIRMED
     return Denial.DRAINED if drained else None
--- a/claycross/requests/protocols.py
+++ b/claycross/requests/protocols.py
@@ -1,6 +1,6 @@
-"""What the requests package needs of its surroundings: a clock, and the client's side of a request.
+"""The interfaces that the requests package depends on: a clock, and the reply to a client.
 
-Both come in as objects, so that the package runs in virtual time and without sockets in tests.
+Both are injected, so that tests can run the package in virtual time and without sockets.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
     """A call that a clock will make later."""
 
     def cancel(self) -> None:
-        """Do not make the call; without effect once it was made."""
+        """Cancel the call; without effect once it was made."""
 
 
 class Clock(Protocol):
     """A monotonic clock in nanoseconds, which also schedules calls."""
 
     def now(self) -> int:
-        """The present time."""
+        """Return the current time."""
         ...
 
     def call_later(self, span: int, call: Callable[[], None]) -> ScheduledCall:
-        """Make the call once `span` nanoseconds have passed."""
+        """Schedule the call for `span` nanoseconds from now."""
         ...
 
 
 class Reply(Protocol):
-    """The client's side of one request. `write` and `finish` may wait for a slow client."""
+    """The reply to the client of one request; `write` and `finish` may block on a slow client."""
 
     def write(self, data: bytes) -> None:
-        """Forward a part of the stream."""
+        """Forward a chunk of the stream."""
 
-    def finish(self, whole: bool) -> None:
-        """End the stream; `whole`: it is complete."""
+    def finish(self, complete: bool) -> None:
+        """End the stream; `complete`: nothing of it is missing."""
 
-    def reject(self, hold_off: int) -> None:
-        """Answer that the request was rejected and may be sent again after `hold_off`."""
+    def reject(self, retry_after: int) -> None:
+        """Answer that the request was rejected and may be retried after `retry_after` ns."""
 
     def fail(self) -> None:
         """Answer that the request failed."""
 
     def client_disconnected(self) -> bool:
-        """Whether the client has gone away, by what its connection says now."""
+        """Tell whether the client has closed its connection by now."""
         ...
--- a/claycross/requests/records.py
+++ b/claycross/requests/records.py
@@ -1,6 +1,6 @@
 """The records of requests and of their attempts, and how a request can end.
 
-The records hold state alone. `RequestManager.finish_request` and `RequestManager.finish_attempt`
+The records hold state only. `RequestManager.finish_request` and `RequestManager.finish_attempt`
 are the only places that make them terminal (docs/lifecycles.md).
 """
 
@@ -17,12 +17,12 @@
 
 
 class RequestEnd(StrEnum):
-    """How a request ended; the values are names of counters and stand in the trace."""
+    """How a request ended; the values are names of counters and appear in the trace."""
 
     SERVED = "served"
-    REJECTED = "refused"  # before it ran; a retry does no harm
+    REJECTED = "refused"  # before it ran, so that a retry is safe
     FAILED = "failed"
-    DEADLINE_EXCEEDED = "overdue"  # the router had not answered it by its deadline
+    DEADLINE_EXCEEDED = "overdue"  # the router left it unanswered at its deadline
     REJECTED_BY_ENGINE = "rejected"
     STREAM_BROKEN = "broken"
     CLIENT_DISCONNECTED = "left"
@@ -30,45 +30,48 @@
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """One request that is not over, or whose attempts are not."""
+    """One request that has not finished, or some of whose attempts have not."""
 
     number: int
     key: str
-    payload: Any  # for the engine side; not looked at here
+    payload: Any  # opaque here; passed on to the engine side
     reply: Reply
     deadline: int
     reservation: ReservationTimer
     class_name: str
     prompt_tokens: int
     arrived_at: int
-    first_token_after: int = 0  # time from arrival to the first token
+    time_to_first_token: int = 0  # ns from the arrival
     attempts: list[Attempt] = field(default_factory=list)
-    finished: bool = False  # answered, failed, rejected, or its client has gone: terminal
-    streaming_attempt: Attempt | None = None  # the attempt whose answer the client gets
-    # Engines that may hold a state for it; True: a read was cut off there, so it is uncertain.
+    finished: bool = False  # terminal: answered, failed, rejected or disconnected
+    streaming_attempt: Attempt | None = None  # the attempt whose output the client receives
+    # Engine that may hold a state -> whether that is uncertain, as a read there was interrupted.
     reserved_at: dict[str, bool] = field(default_factory=dict)
-    # A write was given up; it may wait for the state until its engine has seen its end.
+    # A write was abandoned; its engine may keep waiting for the state until it notices that.
     write_abandoned: bool = False
-    unreported_attempts: int = 0  # attempts whose result the router has not been given
+    unreported_attempts: int = 0  # attempts whose result was not reported to the router yet
     deadline_timer: ScheduledCall | None = None
     reservation_timer: ScheduledCall | None = None
 
     def read_in_flight(self) -> bool:
-        """Whether a read may be at an engine, which would release what it makes, too."""
-        return any(a.is_read and not a.finished and not a.connecting() for a in self.attempts)
+        """Tell whether a read may be at an engine; a release then would hit its state as well."""
+        return any(
+            attempt.is_read and not attempt.finished and not attempt.connecting()
+            for attempt in self.attempts
+        )
 
     def attempt_in_flight(self) -> bool:
-        """Whether any attempt may be at an engine."""
-        return any(not a.finished and not a.connecting() for a in self.attempts)
+        """Tell whether any attempt may be at an engine."""
+        return any(not attempt.finished and not attempt.connecting() for attempt in self.attempts)
 
     def is_decided(self) -> bool:
-        """Whether it is over, or an attempt streams its answer: no other answer is possible."""
+        """Tell whether it has finished or streams its answer, so that no other can be sent."""
         return self.finished or self.streaming_attempt is not None
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt of a request: connecting, sent, streaming, finished."""
+    """One attempt of a request; it is connecting, sent, streaming or finished."""
 
     request: Request
     number: int
@@ -76,18 +79,19 @@
     is_read: bool
     started_at: int
     timeout: int
-    not_after: int  # it must not be sent later than this; 0: at any time
+    not_after: int  # latest time at which it may be sent; 0: no limit
     predicted_latency: int  # by the router, for the trace
     predicted_cached_tokens: int  # by the router, for the trace
-    endpoint: i.EngineEndpoint | None  # of its engine, as listed when the attempt began
-    needs_state: bool  # its engine can't read, so it needs the state that a read has left
+    endpoint: i.EngineEndpoint | None  # of its engine, as listed when the attempt started
+    needs_state: bool  # its engine can't read, so it needs the state of an earlier read
     timer: ScheduledCall | None = None
     finished: bool = False
     streaming: bool = False
-    result: str = ""  # an `AttemptResult` once it is over
-    # Set by the engine side once the first byte is sent; ends the attempt. False: it never ran.
+    result: str = ""  # an `AttemptResult` once it has finished
+    # Set by the engine side once the first byte is sent; aborts the attempt, and returns False if
+    # it never ran.
     abort: Callable[[], bool] | None = None
 
     def connecting(self) -> bool:
-        """Whether its engine can't have received any of it yet."""
+        """Tell whether its engine can't have received any part of it yet."""
         return not self.finished and not self.streaming and self.abort is None
--- a/claycross/requests/release_coordinator.py
+++ b/claycross/requests/release_coordinator.py
@@ -1,9 +1,9 @@
 """The release of states that engines reserve for requests.
 
-A read leaves a state at its engine, which holds it for the write that follows. If no write comes,
-the engine has to be asked to release it within a time that the settings give. The coordinator
-owns the releases in flight and the timers of reservations. Which engines are called, and when
-again, is decided in state_release.py, the time of a reservation in reservation_timer.py.
+A read creates a state at its engine, which reserves it for the write that follows. If no write
+follows, the engine has to be asked to release it within a time given by the settings. The
+coordinator owns the releases in flight and the timers of reservations. state_release.py decides
+which engines are called and when; reservation_timer.py computes when a reservation expires.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from .request_metrics import RequestMetrics
 from .state_release import StateRelease
 
-MS = 1_000_000
-# A read waits no longer than this until the state of an earlier read has been released.
-RELEASE_BEFORE_READ_TIMEOUT = 100 * MS
-# An uncertain state is released a second time after this: the read that was cut off may have
+MS = 1_000_000  # ns
+# The longest that a read waits until the state of an earlier read has been released.
+RELEASE_BEFORE_READ_TIMEOUT_NS = 100 * MS
+# An uncertain state is released a second time after this delay, as the interrupted read may have
 # completed while the first release call was in flight.
-SECOND_RELEASE_DELAY = 60 * MS
-# Results of attempts that were given up here.
-GIVEN_UP = frozenset((i.AttemptResult.CANCELLED, i.AttemptResult.TIMEOUT))
-MAX_RELEASES = 4096  # in flight at once; a bound on memory
+SECOND_RELEASE_DELAY_NS = 60 * MS
+# Results of attempts that this gateway abandoned.
+ABANDONED_RESULTS = frozenset((i.AttemptResult.CANCELLED, i.AttemptResult.TIMEOUT))
+MAX_RELEASES_IN_FLIGHT = 4096  # bounds the memory
 
 
 @dataclass(eq=False)
 class ReleaseCoordinator:
-    """Owns the releases in flight, and the timers of the states that are reserved."""
+    """Owns the releases in flight and the timers of reservations."""
 
     settings: i.Settings
     clock: Clock
@@ -43,13 +43,13 @@
     metrics: RequestMetrics
     find_request: Callable[[str], Request | None]  # by its key
     engine_calls: EngineCalls = field(init=False)  # set once the engine side is built
-    # The releases in flight and the timer of each, if one is set.
+    # Release in flight -> the timer of its next calls, if one is set.
     releases: dict[StateRelease, ScheduledCall | None] = field(init=False, default_factory=dict)
 
     # ------------------------------------------------------------ reservations
 
     def attempt_finished(self, attempt: Attempt) -> None:
-        """Note what the end of an attempt says of the states that engines hold."""
+        """Update which engines hold states for the request by the result of an attempt."""
         request = attempt.request
         result = attempt.result
         reserved_at = request.reserved_at
@@ -58,74 +58,75 @@
                 reserved_at.pop(attempt.engine, None)
             elif result != i.AttemptResult.READ and attempt.engine in reserved_at:
                 reserved_at[attempt.engine] = True
-        elif result in GIVEN_UP and not attempt.streaming:
+        elif result in ABANDONED_RESULTS and not attempt.streaming:
             request.write_abandoned = True
         if result not in preconditions.NOT_SENT:
             request.reservation.restart(self.clock.now())
         if result == i.AttemptResult.READ:
-            request.reservation.read()
+            request.reservation.state_created()
         self.start_reservation_timer(request)
 
     def release_request(self, request: Request) -> None:
         """Release the state at every engine that may hold one for the request.
 
-        In doubt an engine is asked twice: a read that was cut off may have completed behind the
-        first call, and a write that was given up may have waited for the state then, which spares
-        it. Both releases are in flight from now on, so that a gateway that stops waits for both.
+        Where that is uncertain, an engine is asked twice: an interrupted read may have completed
+        after the first call, and an engine ignores that call while an abandoned write still waits
+        for the state. Both releases are in flight from now on, so that a stopping gateway waits
+        for both.
         """
         for engine, uncertain in request.reserved_at.items():
             self.advance(self.create(engine, request.key, uncertain))
             if uncertain or request.write_abandoned:
                 self.schedule(
-                    self.create(engine, request.key, uncertain, delay=SECOND_RELEASE_DELAY)
+                    self.create(engine, request.key, uncertain, delay=SECOND_RELEASE_DELAY_NS)
                 )
         self.clear_reservations(request)
 
     def release_before_read(
-        self, attempt: Attempt, engines: list[str], begin_read: Callable[[], None]
+        self, attempt: Attempt, engines: list[str], start_read: Callable[[], None]
     ) -> None:
-        """Release the states of earlier reads, then begin the read.
+        """Release the states of earlier reads, then start the read.
 
-        Not beside the read, for its engine would apply the release to what it reads; and not after
-        it, for the read may arrive nowhere while the time of the reservation runs on. The read
-        waits for a bounded time only.
+        A release during the read would also apply to the state that the read creates. A release
+        after the read might be late, as the read may never arrive while the reservation expires.
+        The read waits for RELEASE_BEFORE_READ_TIMEOUT_NS at most.
         """
         pending = set(engines)
-        begun = False
+        started = False
 
-        def begin() -> None:
-            nonlocal begun
+        def start_once() -> None:
+            nonlocal started
             timer.cancel()
-            if not begun and not attempt.finished:
-                begun = True
-                begin_read()
+            if not started and not attempt.finished:
+                started = True
+                start_read()
 
         def released(engine: str) -> None:
             if engine != attempt.engine:
                 attempt.request.reserved_at.pop(engine, None)
             pending.discard(engine)
             if not pending:
-                begin()
+                start_once()
 
-        timer = self.clock.call_later(RELEASE_BEFORE_READ_TIMEOUT, begin)
+        timer = self.clock.call_later(RELEASE_BEFORE_READ_TIMEOUT_NS, start_once)
         for engine in engines:
             release = self.create(engine, attempt.request.key, uncertain=False, urgent=True)
             release.on_acknowledged = partial(released, engine)
             self.advance(release)
 
     def clear_reservations(self, request: Request) -> None:
-        """Note that nothing is reserved for the request beyond what is being released."""
+        """Record that no state is reserved for the request, except those being released."""
         request.reserved_at.clear()
         self.stop_reservation_timer(request)
 
     def stop_reservation_timer(self, request: Request) -> None:
-        """Cancel the timer of what is reserved for the request."""
+        """Cancel the timer of the request's reservation."""
         if request.reservation_timer:
             request.reservation_timer.cancel()
             request.reservation_timer = None
 
     def start_reservation_timer(self, request: Request, due: int = 0) -> None:
-        """Set the timer of what is reserved: by the last result, unless a later time is given."""
+        """Set the timer of the request's reservation; `due`: when it expires, 0: by its record."""
         self.stop_reservation_timer(request)
         if not request.reserved_at or request.is_decided():
             return
@@ -135,20 +136,22 @@
         )
 
     def reservation_expired(self, request: Request) -> None:
-        """Release what has been reserved for as long as it may.
+        """Release the states of a request whose reservation has expired.
 
-        The engines stay noted as holders: where a write had arrived, the state that it waits for
-        is spared, and is released with what follows.
+        The engines stay in `reserved_at`: one with a write that waits for the state ignores the
+        release, and is asked again when the request ends.
         """
         request.reservation_timer = None
         if request.is_decided() or not request.reserved_at or request.read_in_flight():
             return
-        due_connecting = request.reservation.due_connecting()
-        write_connecting = any(a.connecting() and not a.is_read for a in request.attempts)
-        if write_connecting and self.clock.now() < due_connecting:
-            self.start_reservation_timer(request, due_connecting)
+        due_while_connecting = request.reservation.due_while_connecting()
+        write_connecting = any(
+            attempt.connecting() and not attempt.is_read for attempt in request.attempts
+        )
+        if write_connecting and self.clock.now() < due_while_connecting:
+            self.start_reservation_timer(request, due_while_connecting)
             return
-        request.reservation.release(write_out=request.attempt_in_flight())
+        request.reservation.mark_released(write_in_flight=request.attempt_in_flight())
         self.metrics.reservation_expired(request, self.clock.now())
         for engine, uncertain in list(request.reserved_at.items()):
             self.advance(self.create(engine, request.key, uncertain, urgent=True))
@@ -158,9 +161,9 @@
     def create(
         self, engine: str, key: str, uncertain: bool, *, delay: int = 0, urgent: bool = False
     ) -> StateRelease:
-        """A new release of what the engine holds for the request with this key."""
+        """Create a release of the state that the engine holds for the request with this key."""
         endpoint = self.directory.endpoints.get(engine)
-        while len(self.releases) >= MAX_RELEASES:
+        while len(self.releases) >= MAX_RELEASES_IN_FLIGHT:
             self.metrics.count("release-dropped")
             self.end(next(iter(self.releases)))
         request = self.find_request(key)
@@ -172,7 +175,7 @@
             self.clock.now() + delay,
             uncertain,
             urgent,
-            request.reservation.states if request else 0,
+            request.reservation.state_count if request else 0,
         )
         self.releases[release] = None
         return release
@@ -197,20 +200,20 @@
         timer = self.releases.get(release)
         if timer:
             timer.cancel()
-        wait = release.wait(self.clock.now())
+        wait = release.time_to_next_call(self.clock.now())
         if wait is not None:
             self.releases[release] = self.clock.call_later(wait, partial(self.resume, release))
 
     def resume(self, release: StateRelease) -> None:
-        """Go on with a release some time after it began; the request may have been read anew."""
-        if not release.finished and self.must_keep(release):
+        """Continue a release, or end it if the request has been read again and needs its state."""
+        if not release.finished and self.is_state_needed(release):
             self.end(release)
             return
         self.advance(release)
 
     def call(self, release: StateRelease, engine: str) -> None:
-        """Ask one engine, the holder or a relay, to release the state."""
-        if engine != release.engine or release.attempts > 1:
+        """Call one engine, the holder or a relay, to release the state."""
+        if engine != release.engine or release.holder_calls > 1:
             self.metrics.count("release-retry")
         self.engine_calls.release(
             engine,
@@ -222,13 +225,13 @@
     def call_finished(
         self, release: StateRelease, engine: str, called_at: int, acknowledged: bool
     ) -> None:
-        """A call has ended, acknowledged by the engine or not."""
+        """Process the end of a call, which the engine has acknowledged or not."""
         now = self.clock.now()
         if self.metrics.trace:
             self.metrics.trace(
                 f"release-call request={release.key} holder={release.engine} at={engine} "
                 f"heard={acknowledged} doubt={release.uncertain} "
-                f"ms={(now - called_at) / MS:.1f} since_ms={(now - release.began) / MS:.1f}"
+                f"ms={(now - called_at) / MS:.1f} since_ms={(now - release.first_call_at) / MS:.1f}"
             )
         if release.finished:
             return
@@ -237,7 +240,7 @@
             release.on_acknowledged()
         is_listed = release.engine in self.directory.endpoints
         release.call_finished(engine, acknowledged, self.clock.now(), is_listed)
-        if release.lost:
+        if release.failed:
             self.log(
                 f"release-failed engine={release.engine} request={release.key} "
                 f"relays={len(release.relays)}"
@@ -247,58 +250,58 @@
         elif not acknowledged:
             self.resume(release)
 
-    def must_keep(self, release: StateRelease) -> bool:
-        """Whether a release that goes on now would take a state that the request still needs.
+    def is_state_needed(self, release: StateRelease) -> bool:
+        """Tell whether a release that continues now would hit a state that the request needs.
 
-        A state is released at every engine at once. Guards the state of a read that was sent since
-        against the repeated calls of an earlier one; the first token releases everything. An
-        attempt that is still connecting has left nothing anywhere, and the time of the reservation
-        runs on beside it. An urgent release waits for no write that is in flight.
+        A call releases the request's states at all engines. This keeps repeated calls of a release
+        from hitting the state of a later read; after the first token the engines have released
+        everything. An attempt that is still connecting holds no state, and the reservation keeps
+        running meanwhile. An urgent release does not wait for a write in flight.
         """
         request = self.find_request(release.key)
         if not request or request.finished:
             return False
-        if not self.would_take_newer_state(request, release):
+        if not self.would_release_needed_state(request, release):
             if release.urgent:
                 return False
-            connecting = {a.engine for a in request.attempts if a.connecting()}
+            connecting = {attempt.engine for attempt in request.attempts if attempt.connecting()}
             if not request.reserved_at.keys() - connecting:
                 return False
         if not request.streaming_attempt and release.engine not in request.reserved_at:
-            request.reserved_at[release.engine] = True  # released with what follows
+            request.reserved_at[release.engine] = True  # released when the request ends
             self.start_reservation_timer(request)
         return True
 
-    def must_keep_now(self, key: str, engine: str) -> bool:
-        """The same for a release at this engine that would be made now."""
+    def is_state_needed_now(self, key: str, engine: str) -> bool:
+        """Tell the same of a release at this engine that would be created now."""
         request = self.find_request(key)
         release = StateRelease(
             key=key,
             engine=engine,
             zone="",
             release_within=self.settings.release_within,
-            began=self.clock.now(),
+            first_call_at=self.clock.now(),
             uncertain=True,
-            states=request.reservation.states if request else 0,
+            state_count=request.reservation.state_count if request else 0,
         )
-        return self.must_keep(release)
+        return self.is_state_needed(release)
 
     def is_stale(self, release: StateRelease) -> bool:
-        """Whether a call that is written now would take what the request has gained since."""
+        """Tell whether a call that is written now would hit a newer state of the request."""
         request = self.find_request(release.key)
         if not request or request.finished:
             return False
-        return self.would_take_newer_state(request, release)
+        return self.would_release_needed_state(request, release)
 
-    def would_take_newer_state(self, request: Request, release: StateRelease) -> bool:
-        """Whether the request has a newer state than the release is for, or needs this one."""
-        if request.streaming_attempt or request.reservation.states > release.states:
+    def would_release_needed_state(self, request: Request, release: StateRelease) -> bool:
+        """Tell whether the request has a newer state than the release is for, or needs this one."""
+        if request.streaming_attempt or request.reservation.state_count > release.state_count:
             return True
         if request.read_in_flight():
             return True
         return not release.urgent and request.attempt_in_flight()
 
     def pending(self) -> int:
-        """How many releases a gateway that stops has to wait for."""
+        """Return how many releases a stopping gateway has to wait for."""
         now = self.clock.now()
         return sum(release.is_pending(now) for release in self.releases)
--- a/claycross/requests/request_metrics.py
+++ b/claycross/requests/request_metrics.py
@@ -9,18 +9,18 @@
 from .preconditions import Denial
 from .records import Attempt, Request, RequestEnd
 
-MS = 1_000_000
+MS = 1_000_000  # ns
 
 
 class ReplyStatus(StrEnum):
-    """How the operators' figures class a request that was answered."""
+    """The outcome of an answered request in the per-class counters."""
 
     SUCCESS = "success"
     OVERLOAD = "overload"
     ERROR = "error"
 
 
-# A request whose client left was not answered, and is not among these figures.
+# A request whose client disconnected was not answered and is not counted.
 REPLY_STATUS = {
     RequestEnd.SERVED: ReplyStatus.SUCCESS,
     RequestEnd.REJECTED: ReplyStatus.OVERLOAD,
@@ -32,7 +32,7 @@
 
 
 class RequestMetrics:
-    """Counts and traces what becomes of requests and attempts, since the start of the process."""
+    """Counts and traces the outcomes of requests and attempts since the start of the process."""
 
     def __init__(self, classes: dict[str, i.RequestClass]) -> None:
         self.classes = classes
@@ -51,7 +51,7 @@
         self.reply_counts[key] = self.reply_counts.get(key, 0) + 1
 
     def count_frontend_rejection(self, class_name: str) -> None:
-        """Count a request that a frontend answered as failed before it was accepted."""
+        """Count a request that a frontend failed before it was accepted."""
         if class_name in self.classes:
             self.count_reply(class_name, ReplyStatus.ERROR)
 
@@ -67,12 +67,12 @@
             )
 
     def request_rejected(self, request: Request, reason: str, retry_after: int) -> None:
-        """Trace that the router has rejected a request."""
+        """Trace that the router rejected a request."""
         if self.trace:
             self.trace(f"refused request={request.key} why={reason} retry_ms={retry_after // MS}")
 
     def request_denied(self, request: Request, action: str, denial: Denial) -> None:
-        """Count and trace an action that was not taken, and the rule that forbade it."""
+        """Count and trace an action that was not taken, and the precondition that denied it."""
         self.count(f"denied-{action}-{denial}")
         if self.trace:
             self.trace(f"denied request={request.key} what={action} why={denial}")
@@ -90,7 +90,7 @@
                 f"ended request={request.key} how={end} class={request.class_name} "
                 f"prompt={request.prompt_tokens} tries={len(request.attempts)} "
                 f"ms={(now - request.arrived_at) / MS:.1f} "
-                f"began_ms={request.first_token_after / MS:.1f} aim_ms={objective / MS:.1f}"
+                f"began_ms={request.time_to_first_token / MS:.1f} aim_ms={objective / MS:.1f}"
             )
 
     def attempt_finished(self, attempt: Attempt, cached_tokens: int, now: int) -> None:
@@ -109,12 +109,12 @@
             )
 
     def reservation_expired(self, request: Request, now: int) -> None:
-        """Count and trace that a reserved state is released because its time is over."""
+        """Count and trace that a reserved state is released because its reservation expired."""
         self.count("hold-due")
         if self.trace:
             self.trace(
                 f"reservation-expired request={request.key} "
                 f"holders={','.join(request.reserved_at)} "
                 f"status={request.reservation.status.name} "
-                f"since_ms={(now - request.reservation.since) / MS:.1f}"
+                f"since_ms={(now - request.reservation.last_result_at) / MS:.1f}"
             )
--- a/claycross/requests/router_driver.py
+++ b/claycross/requests/router_driver.py
@@ -1,7 +1,7 @@
-"""Reports events to the router and carries out its actions.
+"""Reports events to the router and executes its actions.
 
-The actions that concern no single request (timers, log lines, connection checks, gossip, the watch
-of the endpoint list) are carried out here; those on requests are left to the subclass.
+Actions that concern no single request (timers, log lines, connection checks, gossip, the watch of
+the endpoint list) are executed here; those on requests are left to the subclass.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from .engine_protocol import EngineCalls
 from .protocols import Clock
 
-# Rounds of events that follow from the actions of the round before, within one moment.
+# Rounds of events that the actions of the round before caused, in one call of `process_events`.
 MAX_EVENT_ROUNDS = 50
-# Events and actions after which a request may be forgotten.
+# Events and actions after which a request may be removed.
 MAY_END_REQUEST = (i.AttemptFinished, i.RequestAbandoned, i.RejectRequest, i.FailRequest)
 
 
 def _no_watch() -> None:
-    """Stands for the watch of the endpoint list until there is one."""
+    """Default of `RouterDriver.watch_endpoints`."""
 
 
 def _no_gossip(_payload: bytes, _recipient: int) -> None:
-    """Stands for the gossip connection until there is one."""
+    """Default of `RouterDriver.send_gossip`."""
 
 
 class RouterDriver(ABC):
-    """The events that the router has not seen yet, and the dispatch of its actions."""
+    """Queues events for the router and dispatches the actions it returns."""
 
     def __init__(
         self, settings: i.Settings, seed: int, clock: Clock, log: Callable[[str], None]
@@ -42,7 +42,7 @@
         self.router = Router(settings, seed)
         self.events: list[i.Event] = []
         self.watch_endpoints: Callable[[], None] = _no_watch
-        # Sends a payload to one gateway, or to all others.
+        # Called with a payload and its recipient: one gateway, or all others.
         self.send_gossip: Callable[[bytes, int], None] = _no_gossip
         self.actions: dict[type, Callable[[Any], None]] = {
             i.SetTimer: self.set_timer,
@@ -63,25 +63,25 @@
 
     @abstractmethod
     def attempt_reported(self, event: i.AttemptFinished) -> None:
-        """The end of an attempt is about to be reported to the router."""
+        """Called when the result of an attempt is about to be reported to the router."""
 
     @abstractmethod
     def forget_request(self, number: int) -> None:
-        """Forget a request if it is over."""
+        """Remove a request if it has finished."""
 
     def enqueue(self, event: i.Event) -> None:
-        """Keep an event for the router until `process_events`."""
+        """Queue an event for the next call of `process_events`."""
         self.events.append(event)
 
     def process_events(self) -> None:
-        """Report the events to the router and do what it says, until no event follows."""
+        """Report queued events to the router and execute its actions until no event is queued."""
         for _ in range(MAX_EVENT_ROUNDS):
             if not self.events:
                 return
             events = self.events
             self.events = []
             self._process(events)
-        invariant(False, "settles", "the module's actions bring forth events without end")
+        invariant(False, "settles", "the router's actions keep causing events")
 
     def _process(self, events: list[i.Event]) -> None:
         for event in events:
@@ -90,7 +90,7 @@
         actions = self.router.handle(self.clock.now(), events)
         for action in actions:
             self.actions[type(action)](action)
-        # Not before all are done: the router answers first and releases states after that.
+        # After all actions: the router answers a request before it releases its states.
         for item in (*events, *actions):
             if isinstance(item, MAY_END_REQUEST):
                 self.forget_request(item.request)
@@ -101,7 +101,7 @@
         self.clock.call_later(action.delay, partial(self.enqueue, event))
 
     def check_connection(self, action: i.CheckConnection) -> None:
-        """Have a connection to an engine opened, and report whether it came up."""
+        """Open a connection to an engine, and report whether it was established."""
         self.engine_calls.check_connection(
             action.engine, partial(self._connection_checked, action.engine)
         )
--- a/tests/requests/test_reservation_timer.py
+++ b/tests/requests/test_reservation_timer.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from claycross import interface as i
-from claycross.requests.release_coordinator import RELEASE_BEFORE_READ_TIMEOUT
+from claycross.requests.release_coordinator import RELEASE_BEFORE_READ_TIMEOUT_NS
 from claycross.requests.reservation_timer import ReservationStatus, ReservationTimer
 from tests.fleet.test_fleet import asked, gateway
 from tests.routing.router_harness import MS, READERS, SECOND, WRITERS, entry
@@ -28,20 +28,28 @@
 def test_a_hold_is_due_after_the_rules_time_and_with_room_for_the_call(since, written_after):
     clock = ReservationTimer(WITHIN)
     clock.restart(since)
-    written = clock.due_written(since + written_after)
+    written = clock.due_after_send(since + written_after)
     assert (
-        since + WITHIN < clock.due() <= written <= clock.due_connecting() < since + WITHIN + GRACE
+        since + WITHIN
+        < clock.due()
+        <= written
+        <= clock.due_while_connecting()
+        < since + WITHIN + GRACE
     )
     assert written - clock.due() <= max(0, written_after)
 
 
 def test_a_new_state_makes_a_release_forgotten():
     clock = ReservationTimer(WITHIN)
-    clock.read()
-    clock.release(write_out=False)
-    assert not clock.may_be_used()
-    clock.read()
-    assert clock.may_be_used() and clock.status is ReservationStatus.RESERVED and clock.states == 2
+    clock.state_created()
+    clock.mark_released(write_in_flight=False)
+    assert not clock.state_may_exist()
+    clock.state_created()
+    assert (
+        clock.state_may_exist()
+        and clock.status is ReservationStatus.RESERVED
+        and clock.state_count == 2
+    )
 
 
 def test_a_state_is_let_go_though_its_write_is_out():
@@ -86,7 +94,7 @@
     sent = len(wires.started)
     core.attempt_done(wires.started[-1], "stateless")
     core.process_events()
-    clock.pass_by(RELEASE_BEFORE_READ_TIMEOUT, core)
+    clock.pass_by(RELEASE_BEFORE_READ_TIMEOUT_NS, core)
     assert len(wires.started) == sent + 1
     wires.written()
     assert not wires.released  # the read is out: nothing is called any more
@@ -117,7 +125,7 @@
     assert wires.calls
     core.attempt_done(wires.started[-1], "stateless")
     core.process_events()
-    clock.pass_by(RELEASE_BEFORE_READ_TIMEOUT, core)
+    clock.pass_by(RELEASE_BEFORE_READ_TIMEOUT_NS, core)
     again = wires.started[-1]
     assert again.is_read and again.engine in READERS
     core.attempt_done(again, "read")
@@ -130,7 +138,7 @@
     core, clock, wires, r, first = read(may_hedge=True)
     core.update_endpoints(i.EndpointListUpdate("changes", [entry("m1")]))
     clock.pass_by(WITHIN + 100 * MS, core)
-    r.reservation.release(write_out=False)
+    r.reservation.mark_released(write_in_flight=False)
     core.finish_attempt(wires.started[-1], "stateless")
     core.start_attempt(i.StartAttempt(r.number, "w2", 0))  # it would find no state
     assert wires.started[-1].engine != "w2" and core.counts["denied-send-state-released"] == 1
--- a/tests/requests/test_state_release.py
+++ b/tests/requests/test_state_release.py
@@ -10,7 +10,13 @@
 
 from claycross import interface as i
 from claycross.requests.manager import RequestManager
-from claycross.requests.state_release import AGAIN, FRESH, MOST_RELAYS, RelayCandidate, StateRelease
+from claycross.requests.state_release import (
+    HOLDER_RETRY_DELAYS_NS,
+    MAX_RELAYS,
+    RECENT_RESPONSE_NS,
+    RelayCandidate,
+    StateRelease,
+)
 from standins.servers import Engine, chat, eventually
 from tests.fleet.test_fleet import Time, asked
 from tests.routing.router_harness import MS, SECOND, entry, settings
@@ -22,12 +28,12 @@
 def play(release, others, runs, until, latency=2 * MS):
     """Calls as the release wants them, in virtual time; (when, engine, heard) of each that
     ended."""
-    ends, now, out = [], release.began, []
+    ends, now, out = [], release.first_call_at, []
     while now <= until and not release.finished:
         for engine in release.next_calls(now, others):
             out.append((now + (latency if runs(engine) else SILENT), engine, runs(engine)))
         times = [at for at, *_ in out] + (
-            [now + wait] if (wait := release.wait(now)) is not None else []
+            [now + wait] if (wait := release.time_to_next_call(now)) is not None else []
         )
         if not times:
             break
@@ -55,14 +61,14 @@
     release = StateRelease("k1", "holder", "a", WITHIN, 10 * SECOND, doubt)
     ends = play(release, others, runs.get, 20 * SECOND)
     asked = [engine for _, engine, _ in ends if engine != "holder"]
-    assert len(asked) == len(set(asked)) <= MOST_RELAYS
-    assert sum(engine == "holder" for _, engine, _ in ends) <= len(AGAIN) + 1
-    assert release.finished and release.lost == (not any(heard for *_, heard in ends))
+    assert len(asked) == len(set(asked)) <= MAX_RELAYS
+    assert sum(engine == "holder" for _, engine, _ in ends) <= len(HOLDER_RETRY_DELAYS_NS) + 1
+    assert release.finished and release.failed == (not any(heard for *_, heard in ends))
     if holder_runs:
         assert any(e == "holder" and heard for _, e, heard in ends)
-    elif 0 <= (down := sum(not runs[k.engine] for k in others)) < min(MOST_RELAYS, len(others)):
+    elif 0 <= (down := sum(not runs[k.engine] for k in others)) < min(MAX_RELAYS, len(others)):
         first = min(at for at, _, heard in ends if heard)  # it can't have missed all that run
-        assert first <= 10 * SECOND + release.hedge * (down + 1) + 2 * MS
+        assert first <= 10 * SECOND + release.relay_delay * (down + 1) + 2 * MS
     assert not release.is_pending(10 * SECOND + 2 * WITHIN + 1)
 
 
@@ -83,7 +89,7 @@
 
 def test_an_engine_that_answered_lately_is_asked_first():
     now = 100 * SECOND
-    others = [RelayCandidate(f"e{k}", "b", now - 3 * FRESH) for k in range(50)] + [
+    others = [RelayCandidate(f"e{k}", "b", now - 3 * RECENT_RESPONSE_NS) for k in range(50)] + [
         RelayCandidate("near", "a", now - SECOND)
     ]
     for n in range(20):
@@ -103,7 +109,7 @@
         others = [RelayCandidate(f"e{k}", "abc"[k % 3], now - age) for k, age in enumerate(ages)]
         release = StateRelease(f"k{n}", "holder", "a", WITHIN, now, doubt)
         ends = play(release, others, lambda e: e != "holder" and int(e[1:]) % 5 == 0, now + WITHIN)
-        assert min(at for at, _, heard in ends if heard) <= now + release.hedge + 5 * MS
+        assert min(at for at, _, heard in ends if heard) <= now + release.relay_delay + 5 * MS
 
 
 def test_releases_of_many_requests_go_to_many_engines():
