--- a/claycross/recovery/administrative_ejection.py
+++ b/claycross/recovery/administrative_ejection.py
@@ -1,10 +1,10 @@
 """Administrative ejection of engines, and the endpoint list as seen by the rest of the gateway.
 
-An operator takes an engine out of service with `disable` and back with `enable`; discovery never
+An operator ejects an engine with `disable` and returns it to service with `enable`; discovery never
 ends an ejection. The entry of an ejected engine is passed on as draining: requests in flight
 complete, new attempts are not sent. The list is otherwise passed on unchanged. An engine that is
-removed and listed again while ejected comes back draining. The number of remembered ids is bounded;
-the ids seen longest ago are forgotten first.
+removed and listed again while ejected is listed as draining. The number of remembered ids is
+bounded; the least recently listed ones are dropped first.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 
 from ..interface import EndpointListUpdate, EngineEndpoint, EngineState, UpdateKind
 
-# Ids of engines ever listed; calls for an engine that was forgotten are refused.
-MAX_REMEMBERED = 16_384
-# To eject more engines at once is to drain the gateway, for which there is another call.
+# Ids of engines ever listed; commands for an engine whose id was dropped are refused.
+MAX_REMEMBERED_IDS = 16_384
+# To take more engines out of service an operator drains the gateway, which is another command.
 MAX_EJECTIONS = 1_024
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The outcome of an operator's call."""
+    """The outcome of an operator's command."""
 
     succeeded: bool
     message: str  # for the operator
-    update: EndpointListUpdate | None = None  # what the rest of the gateway has to apply
+    update: EndpointListUpdate | None = None  # for the rest of the gateway to apply
     changed: bool = False  # whether the set of ejected engines changed
 
 
 class AdministrativeEjections:
     """The engines that operators have ejected, applied to the endpoint list."""
 
-    def __init__(self, remembered: int = MAX_REMEMBERED, limit: int = MAX_EJECTIONS):
+    def __init__(self, remembered: int = MAX_REMEMBERED_IDS, limit: int = MAX_EJECTIONS):
         self.remembered = remembered
         self.limit = limit
-        # Engine -> since when (Unix time in ns, for people to read).
+        # Engine -> time of the ejection (Unix time in ns, shown to operators).
         self.ejected: dict[str, int] = {}
-        # The entries of engines listed now, as discovery gave them last.
+        # Engine -> its present entry in the list, as received from discovery.
         self.listed: dict[str, EngineEndpoint] = {}
-        # Engines ever listed, the one seen last at the end.
+        # Engines ever listed, ordered from least to most recently listed.
         self.known: OrderedDict[str, None] = OrderedDict()
 
     # ------------------------------------------------------------ the endpoint list
@@ -67,9 +67,9 @@
         return entry.copy()
 
     def remember(self, engine: str) -> None:
-        """Record that the engine was listed; forget the oldest ids beyond the limit.
+        """Record that the engine was listed; drop the oldest ids beyond the limit.
 
-        Engines that are listed or ejected now are never forgotten.
+        Engines that are listed or ejected now are never dropped.
         """
         self.known[engine] = None
         self.known.move_to_end(engine)
@@ -80,13 +80,13 @@
             del self.known[oldest]
 
     def oldest_unused(self) -> str | None:
-        """Return the engine seen longest ago that is neither listed nor ejected."""
+        """Return the least recently listed engine that is neither listed nor ejected now."""
         for engine in self.known:
             if engine not in self.ejected and engine not in self.listed:
                 return engine
         return None
 
-    # ------------------------------------------------------------ operators' calls
+    # ------------------------------------------------------------ operators' commands
 
     def disable(self, engine: str, now: int) -> CommandResult:
         """Eject an engine. `now` is Unix time in ns."""
@@ -123,19 +123,19 @@
     # ------------------------------------------------------------ persisted state
 
     def state(self) -> dict[str, int]:
-        """Return a copy of the ejections: engine -> since when."""
+        """Return a copy of the ejections: engine -> time of the ejection."""
         return dict(self.ejected)
 
     def adopt(self, ejected: dict[str, int]) -> list[EndpointListUpdate]:
-        """Replace the ejections by those of a newer state of this gateway.
+        """Replace the ejections with those of a newer state of this gateway.
 
         Returns:
             An update for each listed engine whose ejection began or ended.
         """
         wanted = dict(sorted(ejected.items())[: self.limit])
         results = [self.enable(engine) for engine in sorted(self.ejected.keys() - wanted.keys())]
-        for engine, since in wanted.items():
+        for engine, ejected_at in wanted.items():
             self.remember(engine)
             if engine not in self.ejected:
-                results.append(self.disable(engine, since))
+                results.append(self.disable(engine, ejected_at))
         return [result.update for result in results if result.update is not None]
--- a/claycross/recovery/persisted_state.py
+++ b/claycross/recovery/persisted_state.py
@@ -1,10 +1,10 @@
-"""The state of a gateway that outlives its process: its form, its validation, and changes to it.
+"""The persisted state of a gateway: its stored form, its validation, and changes to it.
 
 The state holds the administrative ejections, whether the gateway is drained, and the warm-start
-snapshot. Ejections and drains last until an operator lifts them; no clock ends them. A state that
-is read back is trusted only if it has this format, belongs to this gateway and deployment, and is
-within its bounds. This module does no I/O and reads no clock: the caller verifies the checksum and
-passes the time in.
+snapshot. Ejections and drains last until an operator ends them and never expire. A state that is
+read back is valid only if it has this format, belongs to this gateway and deployment, and is within
+its bounds. This module does no I/O and reads no clock: the caller verifies the checksum and passes
+the time in.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from enum import StrEnum
 from typing import Any, TypeGuard
 
-FORMAT = 2  # version of the stored form; a state of another version is refused
+FORMAT = 2  # version of the stored form; other versions are rejected
 MAX_EJECTIONS = 1_024
 MAX_ID_LENGTH = 128
 
 
 @dataclass(slots=True)
 class PersistedState:
-    """The state itself."""
+    """What a gateway keeps across its processes."""
 
-    sequence: int = 0  # rises with every change, whichever process makes it
-    written: int = 0  # Unix time in ns; only for the log, as wall clocks are stepped
-    ejected: dict[str, int] = field(default_factory=dict)  # engine -> since when, Unix time in ns
+    sequence: int = 0  # increases with every change by any process of the gateway
+    written: int = 0  # Unix time in ns; only informative, as wall clocks can be stepped
+    ejected: dict[str, int] = field(default_factory=dict)  # engine -> Unix time in ns
     draining: bool = False
-    writer: int = 0  # id of the process that wrote it; only for the log
+    writer: int = 0  # id of the process that wrote it; only informative
     # Warm-start snapshot in its stored form; recovery/warm_start_snapshot.py validates it.
     snapshot: dict[str, Any] | None = None
 
 
 class ChangeKind(StrEnum):
-    """What an operator can change of the state."""
+    """What an operator can change in the state."""
 
     DISABLE_ENGINE = "set-down"
     ENABLE_ENGINE = "set-up"
@@ -46,12 +46,12 @@
     """One change by an operator."""
 
     kind: ChangeKind
-    engine: str = ""  # blank where the change concerns the gateway's drain
-    at: int = 0  # of an ejection: since when, Unix time in ns
+    engine: str = ""  # blank for a change of the gateway's drain
+    at: int = 0  # time of an ejection, Unix time in ns
 
 
 class InvalidStateError(Exception):
-    """A state that must not be used; the text says why."""
+    """A stored state that must not be used; the message says why."""
 
 
 def encode(state: PersistedState, gateway: str, deployment: str = "") -> dict[str, Any]:
@@ -61,7 +61,7 @@
         state: The state to encode.
         gateway: The name of the gateway that it belongs to.
         deployment: A digest of the settings. A state is not valid under other settings, which
-            may name other request classes, tenants and limits.
+            may define other request classes, tenants and limits.
     """
     return {
         "format": FORMAT,
@@ -81,10 +81,10 @@
 
     Raises:
         InvalidStateError: The state is of another format, gateway or deployment, or a field is of
-            the wrong kind or out of bounds.
+            the wrong type or out of bounds.
     """
     if not isinstance(fields, dict):
-        raise InvalidStateError("not an object")
+        raise InvalidStateError("the state is not a JSON object")
     check_origin(fields, gateway, deployment)
     drained = fields.get("drained")
     ejected = fields.get("bans")
@@ -92,7 +92,7 @@
     written = decode_count(fields.get("written"))
     writer = decode_count(fields.get("writer"))
     if not isinstance(drained, bool) or not isinstance(ejected, dict):
-        raise InvalidStateError("drained or bans of the wrong kind")
+        raise InvalidStateError("drained or bans is of the wrong type")
     check_ejections(ejected)
     snapshot = fields.get("learned")
     return PersistedState(
@@ -108,38 +108,40 @@
 def check_origin(fields: dict[str, Any], gateway: str, deployment: str) -> None:
     """Raise InvalidStateError unless the state is of this format, gateway and deployment."""
     if fields.get("format") != FORMAT:
-        raise InvalidStateError(f"format {fields.get('format')!r}, not {FORMAT}")
+        raise InvalidStateError(f"format {fields.get('format')!r} instead of {FORMAT}")
     if fields.get("gateway") != gateway:
-        writer = str(fields.get("gateway"))[:MAX_ID_LENGTH]
-        raise InvalidStateError(f"written by gateway {writer!r}")
+        other_gateway = str(fields.get("gateway"))[:MAX_ID_LENGTH]
+        raise InvalidStateError(f"written by gateway {other_gateway!r}")
     if fields.get("deployment") != deployment:
         raise InvalidStateError("written under other settings")
 
 
 def decode_count(value: object) -> int:
-    """Return a number that is whole and not negative."""
+    """Return a value that is a whole number and not negative."""
     if not is_whole(value) or value < 0:
-        raise InvalidStateError("sequence, time or writer is not a whole number")
+        raise InvalidStateError("sequence, written or writer is not a whole number of at least 0")
     return value
 
 
 def check_ejections(ejected: dict[Any, Any]) -> None:
     """Raise InvalidStateError unless each entry is an engine's id and a time."""
     if len(ejected) > MAX_EJECTIONS:
-        raise InvalidStateError(f"{len(ejected)} bans, over {MAX_EJECTIONS}")
-    for engine, since in ejected.items():
+        raise InvalidStateError(
+            f"{len(ejected)} entries in bans, over the limit of {MAX_EJECTIONS}"
+        )
+    for engine, ejected_at in ejected.items():
         has_id = isinstance(engine, str) and 0 < len(engine) <= MAX_ID_LENGTH
-        if not has_id or not is_whole(since):
-            raise InvalidStateError("a ban that names no engine or no time")
+        if not has_id or not is_whole(ejected_at):
+            raise InvalidStateError("an entry in bans has no valid engine id or time")
 
 
 def is_whole(value: object) -> TypeGuard[int]:
-    """Tell whether a JSON value is a whole number; JSON's booleans are ints in Python."""
+    """Tell whether a JSON value is a whole number; Python's bool is a subclass of int."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def is_newer(found: PersistedState, sequence: int) -> bool:
-    """Tell whether a state read back replaces the one of this sequence number."""
+    """Tell whether a state that was read is newer than the one with this sequence number."""
     return found.sequence > sequence
 
 
--- a/claycross/recovery/state_files.py
+++ b/claycross/recovery/state_files.py
@@ -1,8 +1,8 @@
 """Atomic, checksummed files that carry a gateway's state from one process to the next.
 
-Each write makes a new file: it is written under a temporary name, synced, and renamed to a name
-with the next generation number; older generations are removed once the new one is on the disk.
-A file is never renamed over an existing one, so a process killed at any moment, or a machine that
+Each write creates a new file: it is written under a temporary name, synced, and renamed to a name
+with the next generation number; older generations are removed once the new one is on disk. A file
+is never renamed over an existing one, so that a process killed at any time, or a machine that
 fails, leaves one complete state. The body is JSON with a SHA-256 checksum. The folder is locked
 between reading and writing, so that two processes of a gateway don't overwrite each other's state.
 Calls block; recovery/state_store.py makes the writes in a thread.
@@ -34,13 +34,13 @@
     validate,
 )
 
-MAX_FILE_BYTES = 1024 * 1024  # a larger file is refused unread
-MAX_LOGGED_FILES = 8  # unused files that are named in the log at the start
+MAX_FILE_BYTES = 1024 * 1024  # larger files are rejected unread
+MAX_LOGGED_FILES = 8  # unused files that are logged at the start
 MAX_NAME_LENGTH = 64  # of the gateway's name within a file name
 MAX_NUMBER_DIGITS = 18  # of a generation or process id in a file name; fits 64 bits
-LOCK_ATTEMPTS = 20  # the other process holds the lock for the time of one write
-LOCK_RETRY_INTERVAL = 0.005  # seconds
-# Errors of a file system without locks: there the write goes on unlocked.
+LOCK_ATTEMPTS = 20  # another process holds the lock for the duration of one write
+LOCK_RETRY_INTERVAL_S = 0.005
+# Errors of a file system without locks, on which writes are made unlocked.
 LOCKS_UNSUPPORTED = (errno.ENOLCK, errno.ENOSYS, errno.EOPNOTSUPP, errno.EINVAL)
 STATE_SUFFIX = ".state"
 TEMPORARY_SUFFIX = ".new"
@@ -49,7 +49,7 @@
 class StateFiles:
     """The state files of one gateway in one folder.
 
-    Files are named NAME.DEPLOYMENT.GENERATION.PID.state, without DEPLOYMENT where none is given.
+    Files are named NAME.DEPLOYMENT.GENERATION.PID.state; DEPLOYMENT is omitted if it is blank.
     Files of other deployments are neither used nor removed.
     """
 
@@ -61,13 +61,13 @@
         file_safe_name = re.sub(r"[^A-Za-z0-9_-]", "_", gateway or "gateway")[:MAX_NAME_LENGTH]
         self.name = f"claycross-{file_safe_name}."
         self.prefix = self.name + (f"{deployment}." if deployment else "")
-        self.generation = 0  # the highest seen in the folder or written here
+        self.generation = 0  # the highest one read or written by this process
         self.seen: frozenset[str] = frozenset()  # the files as last read or written
-        self.failed = False  # whether the last write failed, which is logged once
+        self.failed = False  # whether the last write failed; failures in a row are logged once
 
     @property
     def path(self) -> str:
-        """The newest state's file, or where the first would go."""
+        """The path of the newest state file, or of the first one if there is none."""
         found = self.generations()
         name = found[0][1] if found else self.file_name(1)
         return self.path_of(name)
@@ -91,7 +91,7 @@
         return [name for name in names if name.startswith(prefix) and name.endswith(STATE_SUFFIX)]
 
     def generations(self) -> list[tuple[int, str]]:
-        """Return generation and name of this deployment's files, newest first."""
+        """Return generation and name of this deployment's files, latest first."""
         found = []
         for name in self.file_names(self.prefix):
             parts = name.removeprefix(self.prefix).removesuffix(STATE_SUFFIX).split(".")
@@ -109,20 +109,20 @@
         return max([self.generation, *(generation for generation, _ in self.generations())])
 
     def changed(self) -> bool:
-        """Tell whether files came or went since this process last read or wrote them."""
+        """Tell whether files were added or removed since this process last read or wrote them."""
         return self.current_names() != self.seen
 
     def log_unused_files(self) -> None:
-        """Log which files of this gateway's name are not used, and why."""
+        """Log which files with this gateway's name are not used, and why."""
         unused = set(self.file_names(self.name)) - self.current_names()
         for name in sorted(unused)[:MAX_LOGGED_FILES]:
             if self.load_file(name):
-                self.log_refused(name, "not by its name")
+                self.log_rejected(name, "unexpected file name")
 
     # ------------------------------------------------------------ reading
 
     def load(self) -> PersistedState | None:
-        """Return the newest valid state, if any; log each file that is refused."""
+        """Return the newest valid state, if any; log each file that is rejected."""
         found = self.generations()
         self.seen = frozenset(name for _, name in found)
         self.generation = max([self.generation, *(generation for generation, _ in found)])
@@ -131,15 +131,15 @@
         return max(valid, key=attrgetter("sequence"), default=None)
 
     def load_file(self, name: str) -> PersistedState | None:
-        """Return the state in a file; None, logged, where it is not valid."""
+        """Return the state in a file; log why and return None if it is not valid."""
         try:
             return validate(unwrap(self.read(self.path_of(name))), self.gateway, self.deployment)
         except FileNotFoundError:
             pass  # another process has written a newer generation and removed this one
         except OSError as err:
-            self.log_refused(name, f"unreadable: {err.strerror}")
+            self.log_rejected(name, f"unreadable: {err.strerror}")
         except InvalidStateError as err:
-            self.log_refused(name, str(err))
+            self.log_rejected(name, str(err))
         return None
 
     def read(self, path: str) -> bytes:
@@ -151,11 +151,11 @@
         with open(path, "rb") as file:
             size = os.fstat(file.fileno()).st_size
             if size > MAX_FILE_BYTES:
-                raise InvalidStateError(f"{size} bytes, over {MAX_FILE_BYTES}")
+                raise InvalidStateError(f"{size} bytes, over the limit of {MAX_FILE_BYTES}")
             return file.read(MAX_FILE_BYTES + 1)
 
-    def log_refused(self, name: str, reason: str) -> None:
-        """Log that a file is not used."""
+    def log_rejected(self, name: str, reason: str) -> None:
+        """Log that a file is not used, and why."""
         self.log(f"state-file-rejected path={self.path_of(name)} why={reason}")
 
     # ------------------------------------------------------------ writing
@@ -166,13 +166,13 @@
         changes: Iterable[StateChange],
         snapshot: dict[str, Any] | None,
     ) -> PersistedState:
-        """Apply changes to the newest state, that on the disk or the one held, and write it.
+        """Apply changes to the newer of the stored state and the held one, and write the result.
 
         Returns:
-            The state written. It is on the disk.
+            The written state, which is on disk.
 
         Raises:
-            OSError: It is not on the disk.
+            OSError: The state is not on disk.
         """
         with self.locked():
             found = self.load()
@@ -187,7 +187,7 @@
             return state
 
     def save(self, state: PersistedState) -> bool:
-        """Write a state whatever the folder holds; False, logged once, where that fails."""
+        """Write a state whatever the folder holds; log a failure once and return False."""
         try:
             self.write(state)
         except OSError as err:
@@ -200,7 +200,7 @@
         """Write and sync one generation, then remove the older ones.
 
         Raises:
-            OSError: The write failed. The older generations are as they were.
+            OSError: The write failed; the older generations are unchanged.
         """
         data = wrap(encode(state, self.gateway, self.deployment))
         self.generation = self.highest_generation() + 1
@@ -223,7 +223,7 @@
                 remove_if_possible(self.path_of(name))
 
     def remove_temporary_files(self) -> None:
-        """Remove files that processes killed during a write left behind."""
+        """Remove the temporary files of processes that were killed during a write."""
         own_suffix = f".{os.getpid()}{TEMPORARY_SUFFIX}"
         with contextlib.suppress(OSError):
             for name in os.listdir(self.folder):
@@ -232,7 +232,7 @@
                     remove_if_possible(self.path_of(name))
 
     def sync_folder(self) -> None:
-        """Sync the folder, so that a rename in it outlives a failure of the machine."""
+        """Sync the folder, so that a rename in it survives a failure of the machine."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -240,11 +240,11 @@
             os.close(descriptor)
 
     def log_write_error(self, error: OSError) -> None:
-        """Log that the state can't be written, once for failures in a row."""
+        """Log that the state can't be written; failures in a row are logged once."""
         if not self.failed:
             self.log(
                 f"state-write-failed path={self.folder} why={error.strerror}; "
-                "it stays this process's"
+                "it is held in memory only"
             )
         self.failed = True
 
@@ -252,10 +252,10 @@
     def locked(self) -> Iterator[None]:
         """Hold the folder's lock against other processes of the gateway.
 
-        The kernel releases the lock with the process, however that ends.
+        The kernel releases the lock when the process ends for any reason.
 
         Raises:
-            OSError: The lock can't be had soon.
+            OSError: The lock was not acquired within LOCK_ATTEMPTS.
         """
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -275,13 +275,13 @@
                 return
             if not attempts_left:
                 raise
-            time.sleep(LOCK_RETRY_INTERVAL)
+            time.sleep(LOCK_RETRY_INTERVAL_S)
         else:
             return
 
 
 def write_synced(path: str, data: bytes) -> None:
-    """Write a file and sync it to the disk."""
+    """Write a file and sync it to disk."""
     with open(path, "wb") as file:
         file.write(data)
         file.flush()
@@ -289,7 +289,7 @@
 
 
 def remove_if_possible(path: str) -> None:
-    """Remove a file; one that can't be removed stays, as it does no harm."""
+    """Remove a file if possible; one that can't be removed is harmless."""
     with contextlib.suppress(OSError):
         os.unlink(path)
 
@@ -309,7 +309,7 @@
     """
     body, checksum = parse_envelope(data)
     if hashlib.sha256(body.encode()).hexdigest() != checksum:
-        raise InvalidStateError("the check sum does not hold")
+        raise InvalidStateError("checksum mismatch")
     try:
         return json.loads(body)
     except ValueError:
@@ -317,13 +317,13 @@
 
 
 def parse_envelope(data: bytes) -> tuple[str, str]:
-    """Return the body and the checksum that stand in a state file."""
+    """Return the body and the checksum in a state file."""
     try:
         envelope = json.loads(data)
         body = envelope["body"]
         checksum = envelope["sha256"]
     except (ValueError, KeyError, TypeError) as err:
-        raise InvalidStateError(f"torn or garbage: {type(err).__name__}") from None
+        raise InvalidStateError(f"truncated or corrupt file: {type(err).__name__}") from None
     if not isinstance(body, str) or not isinstance(checksum, str):
-        raise InvalidStateError("torn or garbage: TypeError")
+        raise InvalidStateError("truncated or corrupt file: TypeError")
     return body, checksum
--- a/claycross/recovery/state_store.py
+++ b/claycross/recovery/state_store.py
@@ -1,9 +1,9 @@
-"""The persisted state of a gateway as held by this process, and the writes that keep it.
+"""The persisted state of a gateway as held by this process, and its writes.
 
-An operator's change takes effect in this process at once, and is persisted once a synced file
-holds it; only then is the operator told that it outlives a restart. Changes written by another
-process of the gateway are followed, with the unpersisted changes of this one applied on top. Writes
-block, so a thread makes them, one at a time; the event loop never waits for a disk.
+An operator's change takes effect in this process at once, and is persisted once it is in a synced
+file; only then is the operator told that it survives a restart. Changes written by another process
+of the gateway are adopted, with the unpersisted changes of this one applied on top. Writes block,
+so a thread makes them, one at a time; the event loop never waits for a disk.
 """
 
 from __future__ import annotations
@@ -21,39 +21,39 @@
 from .state_files import StateFiles
 from .warm_start_snapshot import WarmStartSnapshot
 
-# Between checks for a state that another process of this gateway has written.
-FOLLOW_INTERVAL = 200 * MS
-# Between writes of the warm-start snapshot, where another process may take over.
-SNAPSHOT_INTERVAL = 2 * SECOND
+# Interval of the checks for a state that another process of this gateway has written.
+ADOPTION_CHECK_INTERVAL_NS = 200 * MS
+# Interval of the writes of the warm-start snapshot, if another process may take over.
+SNAPSHOT_INTERVAL_NS = 2 * SECOND
 # Backoff after a failed write; doubles with each failure in a row.
-INITIAL_BACKOFF = 40 * MS
-MAX_BACKOFF = SECOND
-MAX_DOUBLINGS = 6  # enough to pass MAX_BACKOFF
-# An operator's call waits so long for its change to be persisted.
-PERSIST_TIMEOUT = 700 * MS
-# Between checks whether the writing thread is done.
-THREAD_POLL_INTERVAL = 4 * MS
+INITIAL_BACKOFF_NS = 40 * MS
+MAX_BACKOFF_NS = SECOND
+MAX_DOUBLINGS = 6  # enough to pass MAX_BACKOFF_NS
+# How long an operator's command waits for its change to be persisted.
+PERSIST_TIMEOUT_NS = 700 * MS
+# Interval of the checks whether the writing thread has finished.
+THREAD_POLL_INTERVAL_NS = 4 * MS
 
 
 @dataclass(slots=True)
 class Write:
-    """One write by a thread, and its outcome once it is done."""
+    """One write by a thread, and its outcome once it has finished."""
 
-    state: PersistedState | None = None  # as written; None where it failed
+    state: PersistedState | None = None  # as written; None if the write failed
     error: OSError | None = None
     done: bool = False
 
 
 def ignore_updates(_: list[EndpointListUpdate]) -> None:
-    """Stand in for a callback that is not set."""
+    """Ignore the updates; the default of `StateStore.on_ejections_changed`."""
 
 
 def ignore_drain(_: bool) -> None:
-    """Stand in for a callback that is not set."""
+    """Ignore the change; the default of `StateStore.on_drain_changed`."""
 
 
 def no_snapshot() -> dict[str, Any] | None:
-    """Stand in for the capture of a snapshot where no process takes over."""
+    """Return no snapshot; the default of `StateStore.capture_snapshot`."""
     return None
 
 
@@ -71,29 +71,30 @@
         self.files = files
         self.ejections = ejections
         self.log = log
-        self.state = PersistedState()  # as last read or written, without the pending changes
-        self.pending: list[StateChange] = []  # made here and not persisted yet, in order
-        self.snapshot: WarmStartSnapshot | None = None  # of the previous process, until restored
+        self.state = PersistedState()  # as last read or written, without pending changes
+        self.pending: list[StateChange] = []  # made by this process and not persisted yet, in order
+        # The snapshot of the previous process, until it is restored.
+        self.snapshot: WarmStartSnapshot | None = None
         self.draining = False
         self.writing = False
         self.stopping = False
         self.failures = 0  # failed writes in a row
-        self.failed_writes = 0  # since the start
+        self.failed_writes = 0  # since the start of the process
         self.last_error = ""  # why the last write failed; blank if it succeeded
         self.on_ejections_changed: Callable[[list[EndpointListUpdate]], None] = ignore_updates
         self.on_drain_changed: Callable[[bool], None] = ignore_drain
         self.capture_snapshot: Callable[[], dict[str, Any] | None] = no_snapshot
 
     def start(self, saves_snapshots: bool) -> None:
-        """Begin to follow other processes and, if asked to, to save snapshots for a successor."""
-        self.loop.call_later(FOLLOW_INTERVAL, self.follow)
+        """Start to check for states of other processes and, if set, to save snapshots."""
+        self.loop.call_later(ADOPTION_CHECK_INTERVAL_NS, self.adopt_newer_state)
         if saves_snapshots:
-            self.loop.call_later(SNAPSHOT_INTERVAL, self.save_snapshot_periodically)
+            self.loop.call_later(SNAPSHOT_INTERVAL_NS, self.save_snapshot_periodically)
 
     # ------------------------------------------------------------ reading
 
     def load(self) -> None:
-        """Take over the state of an earlier process, before the first endpoint list arrives."""
+        """Restore the state of an earlier process, before the first endpoint list arrives."""
         self.files.remove_temporary_files()
         self.files.log_unused_files()
         state = self.files.load()
@@ -107,23 +108,23 @@
             self.load_snapshot(state.snapshot)
 
     def load_snapshot(self, fields: dict[str, Any]) -> None:
-        """Decode a stored snapshot; one that is not valid is logged and left."""
+        """Decode a stored snapshot; log why if it is not valid."""
         try:
             self.snapshot = warm_start.decode(fields, self.loop.now(), self.loop.clock_id)
         except warm_start.InvalidSnapshotError as err:
             self.log(f"warm-start-rejected why={err}")
 
-    def follow(self) -> None:
+    def adopt_newer_state(self) -> None:
         """Adopt a newer state that another process of this gateway has written."""
         if not self.writing and self.files.changed():
             state = self.files.load()
             if state is not None and is_newer(state, self.state.sequence):
                 self.log_state("state-adopted", state)
                 self.adopt(state)
-        self.loop.call_later(FOLLOW_INTERVAL, self.follow)
+        self.loop.call_later(ADOPTION_CHECK_INTERVAL_NS, self.adopt_newer_state)
 
     def adopt(self, state: PersistedState) -> None:
-        """Hold this state with the pending changes on top, and apply what differs from before."""
+        """Hold this state with the pending changes on top, and apply the differences."""
         self.state = state
         wanted = apply_changes(state, self.pending)
         updates = self.ejections.adopt(wanted.ejected)
@@ -134,7 +135,7 @@
             self.on_drain_changed(self.draining)
 
     def log_state(self, event: str, state: PersistedState) -> None:
-        """Log a state that was read."""
+        """Log the contents of a state that was read."""
         self.log(
             f"{event} sequence={state.sequence} writer={state.writer} "
             f"bans={len(state.ejected)} drained={state.draining}"
@@ -153,39 +154,39 @@
         self.save()
 
     def wait_until_persisted(self) -> str:
-        """Wait, for PERSIST_TIMEOUT at most, until all changes are persisted.
+        """Wait, for PERSIST_TIMEOUT_NS at most, until all changes are persisted.
 
-        To be called by a task of the event loop.
+        Must be called by a task of the event loop.
 
         Returns:
             Blank, or why they are not persisted.
         """
-        deadline = self.loop.now() + PERSIST_TIMEOUT
+        deadline = self.loop.now() + PERSIST_TIMEOUT_NS
         while self.pending and self.loop.now() < deadline:
-            self.loop.sleep(THREAD_POLL_INTERVAL)
+            self.loop.sleep(THREAD_POLL_INTERVAL_NS)
         if not self.pending:
             return ""
         return self.last_error or "the write takes long"
 
     def save_snapshot_periodically(self) -> None:
-        """Save snapshots for a process that takes over, until this one stops."""
+        """Save snapshots for the next process until this one stops."""
         if not self.stopping:
             self.save()
-            self.loop.call_later(SNAPSHOT_INTERVAL, self.save_snapshot_periodically)
+            self.loop.call_later(SNAPSHOT_INTERVAL_NS, self.save_snapshot_periodically)
 
     def stop(self) -> None:
-        """Save a last snapshot for the process that takes over."""
+        """Save a last snapshot for the next process."""
         self.stopping = True
         self.save()
 
     def save(self) -> None:
-        """Have the state written with the pending changes, unless a write is in progress."""
+        """Start to write the state with the pending changes, unless a write is in progress."""
         if not self.writing:
             self.writing = True
             self.loop.spawn(self.write_until_persisted)
 
     def write_until_persisted(self) -> None:
-        """Write until no change is pending, with backoff after failures."""
+        """Write until no change is pending, with a backoff after failures."""
         try:
             while True:
                 self.write_once()
@@ -197,9 +198,9 @@
             self.writing = False
 
     def backoff(self) -> int:
-        """Return the pause in ns after the latest of the failures in a row."""
+        """Return the delay in ns after the latest of the failures in a row."""
         doublings = min(self.failures - 1, MAX_DOUBLINGS)
-        return min(MAX_BACKOFF, INITIAL_BACKOFF << doublings)
+        return min(MAX_BACKOFF_NS, INITIAL_BACKOFF_NS << doublings)
 
     def write_once(self) -> None:
         """Write the state with the changes pending now, and record the outcome."""
@@ -214,7 +215,7 @@
         """Drop the changes that are persisted, and adopt the state they were applied to."""
         if self.failures:
             self.log(f"state-written sequence={state.sequence} after={self.failures}")
-        # By identity: an equal change may have been made again during the write.
+        # By identity, as an equal change may have been made during the write.
         persisted = {id(change) for change in changes}
         self.pending = [change for change in self.pending if id(change) not in persisted]
         self.adopt(state)
@@ -231,12 +232,12 @@
             self.files.log_write_error(error)
 
     def write(self, changes: tuple[StateChange, ...]) -> Write:
-        """Make one write in a thread of its own, and wait for it without blocking the loop."""
+        """Make one write in a new thread, and wait for it without blocking the event loop."""
         write = Write()
         held = self.state
         snapshot = self.capture_snapshot()
 
-        def work() -> None:
+        def update_files() -> None:
             try:
                 write.state = self.files.update(held, changes, snapshot)
             except OSError as err:
@@ -244,11 +245,11 @@
             finally:
                 write.done = True
 
-        threading.Thread(target=work, daemon=True).start()
+        threading.Thread(target=update_files, daemon=True).start()
         while not write.done:
-            self.loop.sleep(THREAD_POLL_INTERVAL)
+            self.loop.sleep(THREAD_POLL_INTERVAL_NS)
         return write
 
     def is_writing(self) -> bool:
-        """Tell whether a process that ends has to stay for a write."""
+        """Tell whether a write is in progress, for which a process that ends has to wait."""
         return self.writing
--- a/claycross/recovery/warm_start.py
+++ b/claycross/recovery/warm_start.py
@@ -1,10 +1,10 @@
 """Capture and restore of the warm-start snapshot.
 
-A new process of a gateway starts with the measurements of the one before it: paces of engines and
+A new process of a gateway starts with the measurements of the previous one: paces of engines and
 roles, prediction error, request rates, and which reader has which session and prefix cached. A
-record about an engine is restored only while the engine's start time is the one it was measured
-under, since a restarted engine has an empty cache, and only into a router that has measured nothing
-of that engine itself. This module does no I/O and reads no clock.
+record about an engine is restored only if the engine's start time has not changed since it was
+measured, as a restarted engine has an empty cache, and only into a router that has no measurement
+of that engine yet. This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -82,7 +82,7 @@
 
 
 def restore_role_measurements(router: Router, snapshot: WarmStartSnapshot) -> None:
-    """Restore what belongs to a whole role or to the router's own predictions."""
+    """Restore the measurements of whole roles and of the router's predictions."""
     health = router.health
     router.prediction_error_quantiles = list(snapshot.prediction_error_quantiles)
     router.home_cache_share = snapshot.home_cache_share
@@ -93,7 +93,7 @@
 
 
 def restore_engines(router: Router, snapshot: WarmStartSnapshot, unchanged: set[str]) -> None:
-    """Restore the pace of engines that this router has not measured itself."""
+    """Restore the pace of engines that this router has not measured yet."""
     for name in unchanged:
         engine = router.health.engines[name]
         if engine.samples:
--- a/claycross/recovery/warm_start_snapshot.py
+++ b/claycross/recovery/warm_start_snapshot.py
@@ -1,8 +1,8 @@
 """The warm-start snapshot: its fields, their JSON form, and their validation.
 
-A snapshot carries what the router of one process has measured to the next process of the same
-gateway. Its JSON form is part of the state file. Decoding checks the kind and bounds of every field
-and raises InvalidSnapshotError naming the first one that is wrong. This module does no I/O and
+A snapshot carries the measurements of one process's router to the next process of the same gateway.
+Its JSON form is part of the state file. Decoding checks the type and bounds of every field and
+raises InvalidSnapshotError with the name of the first invalid one. This module does no I/O and
 reads no clock.
 """
 
@@ -20,27 +20,27 @@
 MAX_PREFIXES = 512
 MAX_RATES = 8
 MAX_ID_LENGTH = 128
-MAX_PREDICTION_ERROR = 100  # exclusive; a ratio of measured to predicted time
+MAX_PREDICTION_ERROR = 100  # ratio of measured to predicted time; exclusive
 QUANTILE_COUNT = 2
 SECOND = 1_000_000_000  # ns
-# A snapshot is rewritten every few seconds; an older one describes a load that is over.
-MAX_AGE = 30 * SECOND
+# A snapshot is rewritten every few seconds; an older one describes a past load.
+MAX_AGE_NS = 30 * SECOND
 ROLES = ("read", "write", "both")
 
 Number = int | float
 
 
 class InvalidSnapshotError(Exception):
-    """A snapshot that must not be restored; the text names the field or the reason."""
+    """A snapshot that must not be restored; the message names the field or the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineRecord:
-    """What was measured of one engine."""
+    """The measurements of one engine."""
 
     pace: float  # ns per unit of work
     samples: int
-    identity: Number  # start time of the engine's process; a restarted engine has another
+    identity: Number  # start time of the engine's process, which changes with a restart
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmStartSnapshot:
-    """Measurements of a router, detached from it."""
+    """A copy of the measurements of a router."""
 
     at: Number  # ns, on the clock named by `clock`
     clock: str
@@ -63,7 +63,7 @@
     rates: dict[str, RateRecord]  # by role
     engines: dict[str, EngineRecord]
     sessions: dict[str, SessionRecord]
-    prefixes: dict[str, dict[str, Credit]]  # prefix -> reader -> what it has cached
+    prefixes: dict[str, dict[str, Credit]]  # prefix -> reader -> cached tokens
 
     def encode(self) -> dict[str, Any]:
         """Return the stored form, made of JSON types only."""
@@ -95,11 +95,11 @@
         clock: The name of the clock that `now` was read from; blank if it has none.
 
     Raises:
-        InvalidSnapshotError: A field is of the wrong kind or out of bounds, the snapshot is too
+        InvalidSnapshotError: A field is of the wrong type or out of bounds, the snapshot is too
             old, or its age is unknown because it was taken by another clock.
     """
     if not isinstance(fields, dict) or not is_number(fields.get("at")):
-        raise InvalidSnapshotError("no lessons")
+        raise InvalidSnapshotError("not an object with a number as at")
     check_age(fields, now, clock)
     return WarmStartSnapshot(
         at=fields["at"],
@@ -115,12 +115,12 @@
 
 
 def check_age(fields: dict[str, Any], now: int, clock: str) -> None:
-    """Raise InvalidSnapshotError unless the snapshot is recent by this same clock."""
+    """Raise InvalidSnapshotError unless the snapshot is recent by the same clock."""
     if not clock or fields.get("clock") != clock:
-        raise InvalidSnapshotError("lessons by another clock")
+        raise InvalidSnapshotError("taken by another clock")
     age = now - fields["at"]
-    if not 0 <= age <= MAX_AGE:
-        raise InvalidSnapshotError(f"lessons of {age // SECOND} s ago")
+    if not 0 <= age <= MAX_AGE_NS:
+        raise InvalidSnapshotError(f"taken {age // SECOND} s ago")
 
 
 def decode_quantiles(value: object) -> list[float]:
@@ -139,7 +139,7 @@
 
 def decode_recent_paces(value: object) -> dict[str, list[float]]:
     """Decode the recent paces of each role."""
-    name = "recent paces"
+    name = "recent"
     if not isinstance(value, dict) or not set(value) <= set(ROLES):
         raise InvalidSnapshotError(name)
     recent_paces: dict[str, list[float]] = {}
@@ -197,7 +197,7 @@
 
 
 def decode_credits(value: object) -> dict[str, Credit]:
-    """Decode what the readers of one prefix have cached of it."""
+    """Decode the tokens of one prefix that each reader has cached."""
     credits_by_reader: dict[str, Credit] = {}
     for reader, items in decode_table(value, "prefixes", MAX_ENGINES).items():
         tokens, at = decode_numbers(items, "prefixes", 2)
@@ -223,13 +223,13 @@
 
 
 def require(holds: bool, name: str) -> None:
-    """Raise InvalidSnapshotError naming the field unless the condition holds."""
+    """Raise InvalidSnapshotError with the name of the field unless the condition holds."""
     if not holds:
         raise InvalidSnapshotError(name)
 
 
 def is_number(value: object) -> TypeGuard[Number]:
-    """Tell whether a JSON value is a number that an int and a float can both represent."""
+    """Tell whether a JSON value is a finite number within the range of floats."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
     try:
--- a/tests/recovery/test_state_files.py
+++ b/tests/recovery/test_state_files.py
@@ -1,5 +1,4 @@
-"""The state that outlives a process: trusted when whole, recent and this gateway's; refused
-otherwise."""
+"""State files: written atomically, and used only if complete, valid and of this gateway."""
 
 import contextlib
 import json
@@ -28,71 +27,71 @@
 from claycross.recovery.state_files import StateFiles, unwrap, wrap
 from standins.servers import SETTINGS, Client, Engine, eventually
 
-NOW = 1_800_000_000 * 10**9
-GOOD = PersistedState(7, NOW - 10**9, {"s-1": NOW - 5 * 10**9}, True, 4242)
+NOW_NS = 1_800_000_000 * 10**9
+SAVED_STATE = PersistedState(7, NOW_NS - 10**9, {"s-1": NOW_NS - 5 * 10**9}, True, 4242)
 
 
-def test_a_whole_state_comes_back_as_it_was_written(tmp_path):
+def test_saved_state_is_loaded_unchanged(tmp_path):
     logged = []
     state_files = StateFiles(str(tmp_path), "n0", logged.append)
-    assert state_files.save(GOOD)
-    assert state_files.load() == GOOD and not logged
+    assert state_files.save(SAVED_STATE)
+    assert state_files.load() == SAVED_STATE and not logged
     assert not state_files.changed()
-    StateFiles(str(tmp_path), "n0", logged.append).save(PersistedState(8, NOW, {}, False, 1))
-    assert state_files.changed() and is_newer(state_files.load(), GOOD.sequence)
+    StateFiles(str(tmp_path), "n0", logged.append).save(PersistedState(8, NOW_NS, {}, False, 1))
+    assert state_files.changed() and is_newer(state_files.load(), SAVED_STATE.sequence)
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
-        (lambda f: f | {"format": FORMAT + 1}, "format"),
-        (lambda f: f | {"gateway": "n9"}, "written by gateway 'n9'"),
-        (lambda f: f | {"written": -1}, "whole number"),
-        (lambda f: f | {"written": 1.5}, "whole number"),
-        (lambda f: f | {"sequence": "7"}, "whole number"),
-        (lambda f: f | {"bans": {"": 1}}, "names no engine"),
-        (lambda f: f | {"bans": {f"s-{n}": 1 for n in range(2000)}}, "over"),
-        (lambda f: f | {"drained": "yes"}, "wrong kind"),
-        (lambda f: [f], "not an object"),
+        (lambda fields: fields | {"format": FORMAT + 1}, "format"),
+        (lambda fields: fields | {"gateway": "n9"}, "written by gateway 'n9'"),
+        (lambda fields: fields | {"written": -1}, "whole number"),
+        (lambda fields: fields | {"written": 1.5}, "whole number"),
+        (lambda fields: fields | {"sequence": "7"}, "whole number"),
+        (lambda fields: fields | {"bans": {"": 1}}, "no valid engine id"),
+        (lambda fields: fields | {"bans": {f"s-{n}": 1 for n in range(2000)}}, "over"),
+        (lambda fields: fields | {"drained": "yes"}, "wrong type"),
+        (lambda fields: [fields], "not a JSON object"),
     ],
 )
-def test_a_state_that_is_foreign_or_garbage_is_refused_with_its_reason(change, why):
-    with pytest.raises(InvalidStateError, match=why):
-        validate(change(encode(GOOD, "n0")), "n0")
+def test_invalid_state_is_rejected_with_a_reason(change, reason):
+    with pytest.raises(InvalidStateError, match=reason):
+        validate(change(encode(SAVED_STATE, "n0")), "n0")
 
 
-@pytest.mark.parametrize("written", [0, NOW - 7200 * 10**9, NOW + 3600 * 10**9, 2**62])
-def test_bans_and_drain_hold_whatever_the_wall_clock_said_when_they_were_written(written):
-    """An operator lifts them, not a clock, which may have been stepped between two processes."""
-    kept = validate(encode(replace(GOOD, written=written), "n0"), "n0")
-    assert (kept.ejected, kept.draining) == (GOOD.ejected, True)
+@pytest.mark.parametrize("written", [0, NOW_NS - 7200 * 10**9, NOW_NS + 3600 * 10**9, 2**62])
+def test_ejections_and_drain_do_not_expire(written):
+    """Only an operator ends them; a wall clock may have been stepped between two processes."""
+    decoded = validate(encode(replace(SAVED_STATE, written=written), "n0"), "n0")
+    assert (decoded.ejected, decoded.draining) == (SAVED_STATE.ejected, True)
 
 
-def test_what_was_written_under_other_settings_is_neither_used_nor_removed(tmp_path):
-    """Two processes of one name and one folder, under settings that differ; and the file of one
-    under the name of the other's."""
+def test_files_of_other_settings_are_neither_used_nor_removed(tmp_path):
+    """Two processes share a name and a folder but not their settings; then a file of one is renamed
+    to a name of the other."""
     logged = []
     other = StateFiles(str(tmp_path), "n0", logged.append, "aaaa")
-    other.save(GOOD)
-    mine = StateFiles(str(tmp_path), "n0", logged.append, "bbbb")
-    mine.log_unused_files()
-    assert mine.load() is None and mine.save(PersistedState(1, NOW, {}, False, 1))
-    assert other.load() == GOOD and not other.changed()
+    other.save(SAVED_STATE)
+    own = StateFiles(str(tmp_path), "n0", logged.append, "bbbb")
+    own.log_unused_files()
+    assert own.load() is None and own.save(PersistedState(1, NOW_NS, {}, False, 1))
+    assert other.load() == SAVED_STATE and not other.changed()
     assert len(logged) == 1 and "state-file-rejected" in logged[0] and "other settings" in logged[0]
     os.replace(other.path, tmp_path / "claycross-n0.bbbb.99.1.state")
-    assert mine.load() == PersistedState(1, NOW, {}, False, 1) and "other settings" in logged[-1]
+    assert own.load() == PersistedState(1, NOW_NS, {}, False, 1) and "other settings" in logged[-1]
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        lambda s: s["categories"][0].update(name="notes"),
-        lambda s: s["categories"][0].update(importance=7.0),
-        lambda s: s["permissions"].update({"send-cap": 2}),
-        lambda s: s.update(tenants=[{"name": "t"}]),
+        lambda settings: settings["categories"][0].update(name="notes"),
+        lambda settings: settings["categories"][0].update(importance=7.0),
+        lambda settings: settings["permissions"].update({"send-cap": 2}),
+        lambda settings: settings.update(tenants=[{"name": "t"}]),
     ],
 )
-def test_any_name_limit_or_cost_that_differs_makes_another_deployment(tmp_path, change):
+def test_any_changed_setting_makes_another_deployment(tmp_path, change):
     def deployment(settings):
         (tmp_path / "c.json").write_text(
             json.dumps({"settings": settings, "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"})
@@ -101,46 +100,46 @@
 
     other = json.loads(json.dumps(SETTINGS))
     change(other)
-    again = dict(reversed(SETTINGS.items()))  # the same, in another order
-    assert deployment(SETTINGS) == deployment(again) != deployment(other)
+    reordered = dict(reversed(SETTINGS.items()))  # same settings in another order
+    assert deployment(SETTINGS) == deployment(reordered) != deployment(other)
 
 
-def test_no_write_replaces_a_file_in_place(tmp_path):
-    """Renaming over a file flushed it to disk first on ext4: 54 ms of the loop, over a second when
-    busy."""
+def test_writes_never_replace_an_existing_file(tmp_path):
+    """On ext4, renaming over an existing file first flushed it to disk, which blocked the event
+    loop for 54 ms, and for over a second on a busy disk."""
     state_files = StateFiles(str(tmp_path), "n0", print)
     names = []
     for n in range(5):
-        state_files.save(PersistedState(n, NOW, {}, False, 1))
+        state_files.save(PersistedState(n, NOW_NS, {}, False, 1))
         names.append(os.path.basename(state_files.path))
-        assert [p.name for p in tmp_path.iterdir()] == names[-1:]
+        assert [path.name for path in tmp_path.iterdir()] == names[-1:]
     assert len(set(names)) == 5
 
 
 @pytest.mark.parametrize(
-    ("spoil", "why"),
+    ("corrupt", "reason"),
     [
-        (lambda data: data[: len(data) // 2], "torn"),
-        (lambda data: data.replace(b"s-1", b"s-2"), "check sum"),
-        (lambda data: b"\x00\xff" * 40, "torn"),
-        (lambda data: b"", "torn"),
-        (lambda data: b'{"sha256": 5, "body": []}', "torn"),
+        (lambda data: data[: len(data) // 2], "truncated or corrupt"),
+        (lambda data: data.replace(b"s-1", b"s-2"), "checksum mismatch"),
+        (lambda data: b"\x00\xff" * 40, "truncated or corrupt"),
+        (lambda data: b"", "truncated or corrupt"),
+        (lambda data: b'{"sha256": 5, "body": []}', "truncated or corrupt"),
     ],
 )
-def test_a_file_cut_short_or_changed_is_refused_and_logged(tmp_path, spoil, why):
+def test_truncated_or_changed_file_is_rejected_and_logged(tmp_path, corrupt, reason):
     logged = []
     state_files = StateFiles(str(tmp_path), "n0", logged.append)
-    state_files.save(GOOD)
+    state_files.save(SAVED_STATE)
     with open(state_files.path, "rb") as file:
         data = file.read()
     with open(state_files.path, "wb") as file:
-        file.write(spoil(data))
+        file.write(corrupt(data))
     assert state_files.load() is None
-    assert len(logged) == 1 and "state-file-rejected" in logged[0] and why in logged[0]
+    assert len(logged) == 1 and "state-file-rejected" in logged[0] and reason in logged[0]
 
 
 @given(st.binary(max_size=400))
-def test_whatever_bytes_are_read_back_they_are_judged_or_refused_never_more(data):
+def test_arbitrary_bytes_are_decoded_or_rejected(data):
     with contextlib.suppress(InvalidStateError):
         validate(unwrap(data), "n0")
 
@@ -150,131 +149,135 @@
     st.booleans(),
     st.integers(0, 2**40),
 )
-def test_what_is_written_is_what_is_read(bans, drained, sequence):
-    kept = PersistedState(sequence, NOW, bans, drained, 1)
-    assert validate(unwrap(wrap(encode(kept, "n0"))), "n0") == kept
+def test_encoded_state_decodes_unchanged(ejected, draining, sequence):
+    state = PersistedState(sequence, NOW_NS, ejected, draining, 1)
+    assert validate(unwrap(wrap(encode(state, "n0"))), "n0") == state
 
 
-def test_what_a_killed_writer_left_behind_is_swept_and_the_last_whole_state_stands(tmp_path):
+def test_temporary_file_of_a_killed_writer_is_removed(tmp_path):
     state_files = StateFiles(str(tmp_path), "n0", print)
-    state_files.save(GOOD)
-    left = str(tmp_path / "claycross-n0.9.99999.new")
-    with open(left, "wb") as file:
-        file.write(
-            wrap(encode(PersistedState(9, NOW, {}, False, 99999), "n0"))[:30]
-        )  # killed in the middle of it
+    state_files.save(SAVED_STATE)
+    leftover = str(tmp_path / "claycross-n0.9.99999.new")
+    with open(leftover, "wb") as file:
+        # The process was killed after the first bytes.
+        file.write(wrap(encode(PersistedState(9, NOW_NS, {}, False, 99999), "n0"))[:30])
     state_files.remove_temporary_files()
-    assert not os.path.exists(left) and state_files.load() == GOOD
+    assert not os.path.exists(leftover) and state_files.load() == SAVED_STATE
 
 
-def test_a_folder_that_cant_be_written_leaves_the_state_to_the_process(tmp_path):
+def test_failed_writes_in_a_row_are_logged_once(tmp_path):
     logged = []
     state_files = StateFiles(str(tmp_path / "missing"), "n0", logged.append)
-    assert not state_files.save(GOOD) and not state_files.save(GOOD)
+    assert not state_files.save(SAVED_STATE) and not state_files.save(SAVED_STATE)
     assert len(logged) == 1 and "state-write-failed" in logged[0]
 
 
-def passed_site(site, tmp_path, *engines):
-    held = socket.socket()
-    held.bind(("127.0.0.1", 0))
-    held.listen(64)
-    return site(*engines, door=True, passed=held, tmp=tmp_path / "tmp"), held
+def site_with_shared_listener(site, tmp_path, *engines):
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(64)
+    return site(*engines, door=True, passed=listener, tmp=tmp_path / "tmp"), listener
 
 
-def test_a_ban_holds_over_an_upgrade_and_the_new_process_lifts_it(site, tmp_path):
+def test_ejection_survives_an_upgrade_and_is_ended_by_the_new_process(site, tmp_path):
     (tmp_path / "tmp").mkdir()
-    reader, one, other = Engine("p"), Engine("d"), Engine("d")
-    s, held = passed_site(site, tmp_path, reader, one, other)
-    old = s.process
-    assert s.call(f"set-down {one.uid}").startswith("ok")
-    new = s.start("log.new")
-    assert eventually(lambda: "state-restored" in s.log())
-    assert "bans=1" in s.log()
-    eventually(lambda: s.call("check").startswith("ok"))
-    old.send_signal(signal.SIGTERM)
-    asked = len(one.asked)
-    s.discovery.tell(one.target(boot_ms=1))  # it restarts cold meanwhile, and is listed ready again
+    reader, ejected, other = Engine("p"), Engine("d"), Engine("d")
+    gateway, listener = site_with_shared_listener(site, tmp_path, reader, ejected, other)
+    old_process = gateway.process
+    assert gateway.call(f"set-down {ejected.uid}").startswith("ok")
+    new_process = gateway.start("log.new")
+    assert eventually(lambda: "state-restored" in gateway.log())
+    assert "bans=1" in gateway.log()
+    eventually(lambda: gateway.call("check").startswith("ok"))
+    old_process.send_signal(signal.SIGTERM)
+    requests_before = len(ejected.asked)
+    # The engine restarts meanwhile, with an empty cache, and is listed as ready again.
+    gateway.discovery.tell(ejected.target(boot_ms=1))
     for n in range(20):
-        assert s.chat(X_Route_Key=f"u{n}").status == 200
-    assert old.wait(5) == 0 and len(one.asked) == asked
-    assert s.call(f"set-up {one.uid}").startswith(f"ok {one.uid} is back")
+        assert gateway.chat(X_Route_Key=f"u{n}").status == 200
+    assert old_process.wait(5) == 0 and len(ejected.asked) == requests_before
+    assert gateway.call(f"set-up {ejected.uid}").startswith(f"ok {ejected.uid} is back")
     for n in range(40):
-        if len(one.asked) > asked:
+        if len(ejected.asked) > requests_before:
             break
-        s.chat(X_Route_Key=f"v{n}")
-    assert len(one.asked) > asked
-    new.send_signal(signal.SIGTERM)
-    assert new.wait(5) == 0
-    held.close()
+        gateway.chat(X_Route_Key=f"v{n}")
+    assert len(ejected.asked) > requests_before
+    new_process.send_signal(signal.SIGTERM)
+    assert new_process.wait(5) == 0
+    listener.close()
 
 
-def test_a_drain_called_during_an_upgrade_holds_in_the_new_process(site, tmp_path):
+def test_drain_started_during_an_upgrade_applies_to_the_new_process(site, tmp_path):
     (tmp_path / "tmp").mkdir()
-    s, held = passed_site(site, tmp_path, Engine("p"), Engine("d"))
-    old = s.process
-    old_door = s.door_address
-    new = s.start("log.new")
-    eventually(lambda: s.call("check").startswith("ok"))
-    new_door, s.door_address = s.door_address, old_door
-    assert s.call("drain-on").startswith("ok draining")  # at the old process's door, while both run
-    s.door_address = new_door
-    assert eventually(lambda: "state-adopted" in s.log() and "drained=True" in s.log(), within=3)
-    old.send_signal(signal.SIGTERM)
-    assert old.wait(5) == 0
-    with Client(s.address) as c:
-        assert c.send("GET", "/-/ready").answer().status == 503
-    assert s.call("drain-off").startswith("ok serving")
-    with Client(s.address) as c:
-        assert c.send("GET", "/-/ready").answer().status == 200
-    new.send_signal(signal.SIGTERM)
-    assert new.wait(5) == 0
-    held.close()
-
-
-@pytest.mark.parametrize("spoil", [None, "settings", "cut", "older"])
-def test_a_start_takes_only_a_state_of_its_own_settings_and_form(site, tmp_path, spoil):
+    gateway, listener = site_with_shared_listener(site, tmp_path, Engine("p"), Engine("d"))
+    old_process = gateway.process
+    old_admin_address = gateway.door_address
+    new_process = gateway.start("log.new")
+    eventually(lambda: gateway.call("check").startswith("ok"))
+    new_admin_address, gateway.door_address = gateway.door_address, old_admin_address
+    # At the admin socket of the old process, while both run.
+    assert gateway.call("drain-on").startswith("ok draining")
+    gateway.door_address = new_admin_address
+    assert eventually(
+        lambda: "state-adopted" in gateway.log() and "drained=True" in gateway.log(), within=3
+    )
+    old_process.send_signal(signal.SIGTERM)
+    assert old_process.wait(5) == 0
+    with Client(gateway.address) as client:
+        assert client.send("GET", "/-/ready").answer().status == 503
+    assert gateway.call("drain-off").startswith("ok serving")
+    with Client(gateway.address) as client:
+        assert client.send("GET", "/-/ready").answer().status == 200
+    new_process.send_signal(signal.SIGTERM)
+    assert new_process.wait(5) == 0
+    listener.close()
+
+
+@pytest.mark.parametrize("corrupt", [None, "settings", "cut", "older"])
+def test_start_restores_only_a_valid_state_of_the_same_settings(site, tmp_path, corrupt):
     folder = tmp_path / "tmp"
     folder.mkdir()
-    s = site(Engine("p"), Engine("d"), door=True, tmp=folder)
-    assert s.call("drain-on").startswith("ok draining")
-    s.process.send_signal(signal.SIGTERM)
-    assert s.process.wait(8) == 0
-    (left,) = folder.iterdir()
-    if spoil == "settings":
-        s.config["settings"]["categories"][0]["name"] = "notes"
-        s.reconfigure(s.config)
-    elif spoil == "cut":
-        left.write_bytes(left.read_bytes()[:-40])
-    elif spoil == "older":  # as the version before wrote it: no settings in its name, another form
-        fields = unwrap(left.read_bytes()) | {"format": 1}
-        left.unlink()
+    gateway = site(Engine("p"), Engine("d"), door=True, tmp=folder)
+    assert gateway.call("drain-on").startswith("ok draining")
+    gateway.process.send_signal(signal.SIGTERM)
+    assert gateway.process.wait(8) == 0
+    (leftover,) = folder.iterdir()
+    if corrupt == "settings":
+        gateway.config["settings"]["categories"][0]["name"] = "notes"
+        gateway.reconfigure(gateway.config)
+    elif corrupt == "cut":
+        leftover.write_bytes(leftover.read_bytes()[:-40])
+    elif corrupt == "older":
+        # Format 1, which the previous version wrote without a deployment in the file name.
+        fields = unwrap(leftover.read_bytes()) | {"format": 1}
+        leftover.unlink()
         (folder / "claycross-n0.7.1.state").write_bytes(wrap(fields))
-    s.start("log.new")
-    assert ("state-restored" in s.log()) is (spoil is None)
-    assert ("state-file-rejected" in s.log()) is (spoil is not None)
-    eventually(lambda: s.call("check").startswith("ok"))
-    with Client(s.address) as c:
-        assert c.send("GET", "/-/ready").answer().status == (503 if spoil is None else 200)
+    gateway.start("log.new")
+    assert ("state-restored" in gateway.log()) is (corrupt is None)
+    assert ("state-file-rejected" in gateway.log()) is (corrupt is not None)
+    eventually(lambda: gateway.call("check").startswith("ok"))
+    with Client(gateway.address) as client:
+        assert client.send("GET", "/-/ready").answer().status == (503 if corrupt is None else 200)
 
 
-@pytest.mark.parametrize("left", [b"garbage\n", b'{"sha256":"00","body":"{}"}', None])
-def test_a_start_beside_a_spoilt_state_refuses_it_and_serves(site, tmp_path, left):
+@pytest.mark.parametrize("leftover", [b"garbage\n", b'{"sha256":"00","body":"{}"}', None])
+def test_start_with_an_invalid_state_file_rejects_it_and_serves(site, tmp_path, leftover):
     folder = tmp_path / "tmp"
     folder.mkdir()
-    if left is not None:
-        (folder / "claycross-n0.1.1.state").write_bytes(left)
-    else:  # another gateway's, whole
+    if leftover is not None:
+        (folder / "claycross-n0.1.1.state").write_bytes(leftover)
+    else:  # a valid state of another gateway
         foreign = PersistedState(3, time.time_ns(), {"x": 1}, True, 1)
         (folder / "claycross-n0.1.1.state").write_bytes(wrap(encode(foreign, "n7")))
-    s = site(Engine("p"), Engine("d"), door=True, tmp=folder)
-    assert "state-file-rejected" in s.log() and "state-restored" not in s.log()
-    assert "written by gateway 'n7'" in s.log() or left is not None
-    assert s.chat().status == 200
-    with Client(s.address) as c:
-        assert c.send("GET", "/-/ready").answer().status == 200
+    gateway = site(Engine("p"), Engine("d"), door=True, tmp=folder)
+    assert "state-file-rejected" in gateway.log() and "state-restored" not in gateway.log()
+    assert "written by gateway 'n7'" in gateway.log() or leftover is not None
+    assert gateway.chat().status == 200
+    with Client(gateway.address) as client:
+        assert client.send("GET", "/-/ready").answer().status == 200
 
 
-WRITER = """
+WRITER_PROGRAM = """
 import sys, time
 from claycross.recovery.persisted_state import PersistedState
 from claycross.recovery.state_files import StateFiles
@@ -288,14 +291,17 @@
 """
 
 
-@pytest.mark.parametrize("after", [0.05, 0.13, 0.31])
-def test_a_writer_killed_at_any_moment_leaves_the_last_whole_state(tmp_path, after):
+@pytest.mark.parametrize("kill_delay_s", [0.05, 0.13, 0.31])
+def test_killed_writer_leaves_a_complete_state(tmp_path, kill_delay_s):
     root = pathlib.Path(__file__).parent.parent.parent
     writer = subprocess.Popen(
-        [sys.executable, "-c", WRITER, str(tmp_path)], stdout=subprocess.PIPE, text=True, cwd=root
+        [sys.executable, "-c", WRITER_PROGRAM, str(tmp_path)],
+        stdout=subprocess.PIPE,
+        text=True,
+        cwd=root,
     )
     assert int(writer.stdout.readline()) >= 1
-    time.sleep(after)
+    time.sleep(kill_delay_s)
     writer.send_signal(signal.SIGKILL)
     writer.wait()
     logged = []
@@ -304,9 +310,9 @@
     assert found is not None and found.sequence >= 1 and not logged
     assert len(found.ejected) == found.sequence % 50 and found.draining == (found.sequence % 2 == 0)
     state_files.remove_temporary_files()
-    names = [p.name for p in tmp_path.iterdir()]
+    names = [path.name for path in tmp_path.iterdir()]
     assert 1 <= len(names) <= 2 and all(
         n.startswith("claycross-n0.") and n.endswith(".state") for n in names
     )
     state_files.save(found)
-    assert len(list(tmp_path.iterdir())) == 1  # the next write lets the older go
+    assert len(list(tmp_path.iterdir())) == 1  # the write removed the older generation
--- a/tests/recovery/test_state_store.py
+++ b/tests/recovery/test_state_store.py
@@ -1,4 +1,4 @@
-"""What an operator was answered `ok` is kept, whatever the folder and the process meet."""
+"""A change that was answered `ok` survives write errors, killed processes and clock steps."""
 
 import contextlib
 import signal
@@ -21,102 +21,102 @@
 
 
 @pytest.fixture
-def kept(site, tmp_path):
-    """A gateway with readers p-0 and p-1 whose state's folder fails as told."""
+def faulty_gateway(site, tmp_path):
+    """A gateway with readers p-0 and p-1, and injected faults of its state folder."""
     folder = tmp_path / "state"
     folder.mkdir()
     faults = SystemFaults(tmp_path, "n0")
     readers = [Engine("p", "p-0"), Engine("p", "p-1")]
-    s = site(
+    gateway = site(
         *readers, Engine("d"), door=True, tmp=folder, release=True, environment=faults.environment()
     )
-    eventually(lambda: s.call("check").startswith("ok"))
-    return s, faults, readers
+    eventually(lambda: gateway.call("check").startswith("ok"))
+    return gateway, faults, readers
 
 
-def restart(s, faults):
-    if s.process.poll() is None:
-        s.process.send_signal(signal.SIGKILL)
-    s.process.wait()
+def restart(gateway, faults):
+    if gateway.process.poll() is None:
+        gateway.process.send_signal(signal.SIGKILL)
+    gateway.process.wait()
     faults.clear()
-    s.start("log.next")
-    eventually(lambda: s.call("check").startswith("ok"))
+    gateway.start("log.next")
+    eventually(lambda: gateway.call("check").startswith("ok"))
 
 
-def gets_nothing(s, engine):
-    before = len(engine.asked)
-    assert [s.chat(X_Route_Key=f"k{n}").status for n in range(16)] == [200] * 16
-    return len(engine.asked) == before
+def receives_no_request(gateway, engine):
+    requests_before = len(engine.asked)
+    assert [gateway.chat(X_Route_Key=f"k{index}").status for index in range(16)] == [200] * 16
+    return len(engine.asked) == requests_before
 
 
 @pytest.mark.parametrize("field", [Field.WRITE_ERROR, Field.SYNC_ERROR])
-def test_a_ban_made_while_the_folder_fails_for_a_moment_is_kept(kept, field):
-    s, faults, readers = kept
+def test_ejection_during_a_short_write_failure_is_persisted(faulty_gateway, field):
+    gateway, faults, readers = faulty_gateway
     faults.set(field, 1000)
     threading.Timer(0.3, faults.clear).start()
-    assert s.call("set-down p-1").startswith("ok")
-    restart(s, faults)
-    assert gets_nothing(s, readers[1])
+    assert gateway.call("set-down p-1").startswith("ok")
+    restart(gateway, faults)
+    assert receives_no_request(gateway, readers[1])
 
 
 @pytest.mark.parametrize("field", [Field.WRITE_ERROR, Field.SYNC_ERROR])
-def test_while_the_folder_fails_the_answer_says_so_and_the_change_is_kept_later(kept, field):
-    s, faults, readers = kept
+def test_failed_write_is_reported_and_retried(faulty_gateway, field):
+    gateway, faults, readers = faulty_gateway
     faults.set(field, 1000)
-    reply = s.call("set-down p-1", within=1.0)
+    reply = gateway.call("set-down p-1", within=1.0)
     assert reply.startswith("fail") and "a restart would forget it" in reply
-    assert gets_nothing(s, readers[1])  # here it counts all the same
+    assert receives_no_request(gateway, readers[1])  # the ejection applies in this process
     faults.clear()
-    eventually(lambda: s.call("set-down p-1").startswith("ok"))  # out already, and kept by now
-    assert "state-written" in s.log()
-    restart(s, faults)
-    assert gets_nothing(s, readers[1])
+    # The engine is already ejected; the answer is ok once that is persisted.
+    eventually(lambda: gateway.call("set-down p-1").startswith("ok"))
+    assert "state-written" in gateway.log()
+    restart(gateway, faults)
+    assert receives_no_request(gateway, readers[1])
 
 
-def test_short_writes_are_gone_on_with(kept):
-    s, faults, readers = kept
+def test_short_writes_are_completed(faulty_gateway):
+    gateway, faults, readers = faulty_gateway
     faults.set(Field.SHORT_IO, 1000)
-    assert s.call("set-down p-1").startswith("ok")
-    restart(s, faults)
-    assert "state-restored" in s.log() and gets_nothing(s, readers[1])
+    assert gateway.call("set-down p-1").startswith("ok")
+    restart(gateway, faults)
+    assert "state-restored" in gateway.log() and receives_no_request(gateway, readers[1])
 
 
 @pytest.mark.parametrize("field", [Field.KILL_AT_WRITE, Field.KILL_AT_SYNC, Field.KILL_AT_RENAME])
-@pytest.mark.parametrize("at", [1, 2])
-def test_a_kill_in_the_midst_of_a_write_leaves_the_ban_before_it(kept, field, at):
-    s, faults, readers = kept
-    assert s.call("set-down p-1").startswith("ok")
-    faults.set(field, at)
-    for call in ("drain-on", "drain-off"):
-        with contextlib.suppress(ConnectionError):  # killed in the midst of the call
-            s.call(call)
-    eventually(lambda: s.process.poll() is not None)
-    restart(s, faults)
-    assert "state-file-rejected" not in s.log()
-    assert gets_nothing(s, readers[1])
-
-
-@pytest.mark.parametrize("step", [1, -1, 10, -10, 3600, -3600])
-def test_a_ban_outlives_a_wall_clock_that_is_stepped_between_two_processes(kept, step):
-    s, faults, readers = kept
-    assert s.call("set-down p-1").startswith("ok")
+@pytest.mark.parametrize("nth_call", [1, 2])
+def test_kill_during_a_write_keeps_the_earlier_ejection(faulty_gateway, field, nth_call):
+    gateway, faults, readers = faulty_gateway
+    assert gateway.call("set-down p-1").startswith("ok")
+    faults.set(field, nth_call)
+    for command in ("drain-on", "drain-off"):
+        with contextlib.suppress(ConnectionError):  # killed during the command
+            gateway.call(command)
+    eventually(lambda: gateway.process.poll() is not None)
+    restart(gateway, faults)
+    assert "state-file-rejected" not in gateway.log()
+    assert receives_no_request(gateway, readers[1])
+
+
+@pytest.mark.parametrize("step_s", [1, -1, 10, -10, 3600, -3600])
+def test_ejection_survives_a_wall_clock_step_between_two_processes(faulty_gateway, step_s):
+    gateway, faults, readers = faulty_gateway
+    assert gateway.call("set-down p-1").startswith("ok")
     passes(0.05)
-    faults.set(Field.WALL_OFFSET_NS, step * 10**9)
-    restart(s, faults)
-    assert gets_nothing(s, readers[1])
+    faults.set(Field.WALL_OFFSET_NS, step_s * 10**9)
+    restart(gateway, faults)
+    assert receives_no_request(gateway, readers[1])
 
 
-def test_changes_that_are_not_kept_yet_are_bounded_and_the_last_of_each_counts():
-    """Called again and again while the folder fails, an operator leaves one change for each
-    engine."""
+def test_pending_changes_are_bounded_and_the_last_for_each_engine_applies():
+    """Repeated commands during failing writes leave one pending change per engine and drain."""
     store = StateStore(
         EventLoop(), StateFiles("/nowhere", "n0", print), AdministrativeEjections(), print
     )
-    store.writing = True  # a write is under way, and does not come to an end
-    for n in range(300):
-        kind = (ChangeKind.DISABLE_ENGINE, ChangeKind.ENABLE_ENGINE)[n % 2]
-        store.persist(StateChange(kind, f"p-{n % 3}", n))
-        store.persist(StateChange((ChangeKind.START_DRAIN, ChangeKind.STOP_DRAIN)[n % 2]))
+    store.writing = True  # a write is in progress and does not finish
+    for index in range(300):
+        kind = (ChangeKind.DISABLE_ENGINE, ChangeKind.ENABLE_ENGINE)[index % 2]
+        store.persist(StateChange(kind, f"p-{index % 3}", index))
+        store.persist(StateChange((ChangeKind.START_DRAIN, ChangeKind.STOP_DRAIN)[index % 2]))
     assert len(store.pending) == 4
     state = apply_changes(PersistedState(), store.pending)
     assert state.ejected == {"p-1": 298} and not state.draining
--- a/tests/recovery/test_warm_start.py
+++ b/tests/recovery/test_warm_start.py
@@ -1,5 +1,4 @@
-"""What a module learned goes to the next process of the gateway, never to an engine that restarted
-since."""
+"""Measurements of a router are restored in the next process, except for restarted engines."""
 
 import copy
 import json
@@ -9,34 +8,49 @@
 from hypothesis import strategies as st
 
 from claycross.recovery import warm_start
-from tests.routing.router_harness import READERS, SECOND, WRITERS, Desk, EndpointListUpdate, entry
+from tests.routing.router_harness import (
+    MS,
+    READERS,
+    SECOND,
+    WRITERS,
+    EndpointListUpdate,
+    RouterHarness,
+    entry,
+)
+
+CLOCK_ID = "a boot of the machine"
 
-CLOCK = "the machine's run"
 
+def restored_router(restarted=()):
+    """Serve requests with a router, and restore its snapshot, passed through JSON, into a new one.
 
-def taught(restarted=()):
-    """A desk that served a day, its lessons through JSON, and a new desk taught them under today's
-    list."""
-    old = Desk()
-    for n in range(1, 40):
-        old.serve(n, session=f"s{n % 7}", prefix=f"p{n % 3}", prefix_tokens=400)
-        old.now += 100 * 1_000_000
-    found = warm_start.decode(
-        json.loads(json.dumps(warm_start.capture(old.router, old.now, CLOCK).encode())),
+    Returns:
+        The old and the new harness, and the number of engines that have not restarted.
+    """
+    old = RouterHarness()
+    for index in range(1, 40):
+        old.serve(index, session=f"s{index % 7}", prefix=f"p{index % 3}", prefix_tokens=400)
+        old.now += 100 * MS
+    snapshot = warm_start.decode(
+        json.loads(json.dumps(warm_start.capture(old.router, old.now, CLOCK_ID).encode())),
         old.now,
-        CLOCK,
+        CLOCK_ID,
     )
-    new = Desk()
+    new = RouterHarness()
     new.now = old.now + SECOND
-    today = [entry(n, started_at=new.now if n in restarted else 0) for n in READERS + WRITERS]
-    new.do(EndpointListUpdate("full", today))
-    named = warm_start.restore(new.router, found, new.now)
-    return old, new, named
-
-
-def test_a_new_module_foretells_as_the_old_one_did():
-    old, new, named = taught()
-    assert named == len([e for e in old.router.health.engines.values() if e.samples])
+    current_list = [
+        entry(name, started_at=new.now if name in restarted else 0) for name in READERS + WRITERS
+    ]
+    new.do(EndpointListUpdate("full", current_list))
+    unchanged_count = warm_start.restore(new.router, snapshot, new.now)
+    return old, new, unchanged_count
+
+
+def test_new_router_predicts_as_the_old_one():
+    old, new, unchanged_count = restored_router()
+    assert unchanged_count == len(
+        [engine for engine in old.router.health.engines.values() if engine.samples]
+    )
     for role in ("read", "write"):
         assert new.router.health.typical(role) == pytest.approx(old.router.health.typical(role))
     assert new.router.prediction_error_quantiles == old.router.prediction_error_quantiles
@@ -44,68 +58,84 @@
     assert new.router.prefix_cache.sessions == old.router.prefix_cache.sessions
     assert new.router.prefix_cache.prefixes == old.router.prefix_cache.prefixes
     assert new.router.prefix_cache.credited_tokens == {
-        r: c for r, c in old.router.prefix_cache.credited_tokens.items() if c
+        reader: tokens
+        for reader, tokens in old.router.prefix_cache.credited_tokens.items()
+        if tokens
     }
 
 
-def test_an_engine_that_restarted_since_keeps_nothing_of_its_earlier_process():
-    old, new, _ = taught(restarted={"r1", "w1"})
+def test_nothing_is_restored_for_a_restarted_engine():
+    old, new, _ = restored_router(restarted={"r1", "w1"})
     for engine in ("r1", "w1"):
         assert new.router.health.engines[engine].samples == 0
     assert all(reader != "r1" for reader, _, _ in new.router.prefix_cache.sessions.values())
-    assert all("r1" not in held for held in new.router.prefix_cache.prefixes.values())
-    assert "r1" in {
-        reader for reader, _, _ in old.router.prefix_cache.sessions.values()
-    }  # it had some to lose
-
-
-def test_a_module_that_learned_for_itself_keeps_its_own():
-    old, new, _ = taught()
-    again = Desk()
-    again.now = new.now
-    again.do(EndpointListUpdate("full", [entry(n) for n in READERS + WRITERS]))
-    again.serve(1, session="mine")
-    own = {e.id: (e.pace, e.samples) for e in again.router.health.engines.values() if e.samples}
-    lags = list(again.router.prediction_error_quantiles)
-    warm_start.restore(again.router, warm_start.capture(old.router, old.now, CLOCK), again.now)
+    assert all("r1" not in readers for readers in new.router.prefix_cache.prefixes.values())
+    # The old router had something to restore.
+    assert "r1" in {reader for reader, _, _ in old.router.prefix_cache.sessions.values()}
+
+
+def test_own_measurements_of_a_router_are_not_replaced():
+    old, new, _ = restored_router()
+    measured = RouterHarness()
+    measured.now = new.now
+    measured.do(EndpointListUpdate("full", [entry(name) for name in READERS + WRITERS]))
+    measured.serve(1, session="mine")
+    own_paces = {
+        engine.id: (engine.pace, engine.samples)
+        for engine in measured.router.health.engines.values()
+        if engine.samples
+    }
+    own_quantiles = list(measured.router.prediction_error_quantiles)
+    warm_start.restore(
+        measured.router, warm_start.capture(old.router, old.now, CLOCK_ID), measured.now
+    )
     assert {
-        e: (again.router.health.engines[e].pace, again.router.health.engines[e].samples)
-        for e in own
-    } == own
-    assert again.router.prediction_error_quantiles == lags
+        engine: (
+            measured.router.health.engines[engine].pace,
+            measured.router.health.engines[engine].samples,
+        )
+        for engine in own_paces
+    } == own_paces
+    assert measured.router.prediction_error_quantiles == own_quantiles
 
 
 @pytest.mark.parametrize(
-    ("spoil", "why"),
+    ("corrupt", "reason"),
     [
-        (lambda f: f | {"at": f["at"] - 31 * SECOND}, "ago"),
-        (lambda f: f | {"at": f["at"] + SECOND}, "ago"),
-        (lambda f: f | {"lags": [1.0]}, "lags"),
-        (lambda f: f | {"home_kept": 3.0}, "home_kept"),
-        (lambda f: f | {"recent": {"read": []}}, "recent"),
-        (lambda f: f | {"engines": {"r1": [1.0, True, 0]}}, "engines"),
-        (lambda f: f | {"engines": {"r1": [1.0, float("inf"), 0]}}, "engines"),
-        (lambda f: f | {"rates": {"read": [1.0, 10**400]}}, "rates"),
-        (lambda f: f | {"engines": {f"e{n}": [1.0, 1, 0] for n in range(600)}}, "engines"),
-        (lambda f: f | {"sessions": {"s": [5, 1, 1]}}, "sessions"),
-        (lambda f: f | {"prefixes": {"p": {"r1": [1]}}}, "prefixes"),
-        (lambda f: f | {"clock": "another run"}, "another clock"),
-        (lambda f: {k: v for k, v in f.items() if k != "clock"}, "another clock"),
-        (lambda f: [f], "no lessons"),
+        (lambda fields: fields | {"at": fields["at"] - 31 * SECOND}, "ago"),
+        (lambda fields: fields | {"at": fields["at"] + SECOND}, "ago"),
+        (lambda fields: fields | {"lags": [1.0]}, "lags"),
+        (lambda fields: fields | {"home_kept": 3.0}, "home_kept"),
+        (lambda fields: fields | {"recent": {"read": []}}, "recent"),
+        (lambda fields: fields | {"engines": {"r1": [1.0, True, 0]}}, "engines"),
+        (lambda fields: fields | {"engines": {"r1": [1.0, float("inf"), 0]}}, "engines"),
+        (lambda fields: fields | {"rates": {"read": [1.0, 10**400]}}, "rates"),
+        (
+            lambda fields: fields | {"engines": {f"e{index}": [1.0, 1, 0] for index in range(600)}},
+            "engines",
+        ),
+        (lambda fields: fields | {"sessions": {"s": [5, 1, 1]}}, "sessions"),
+        (lambda fields: fields | {"prefixes": {"p": {"r1": [1]}}}, "prefixes"),
+        (lambda fields: fields | {"clock": "another run"}, "another clock"),
+        (
+            lambda fields: {name: value for name, value in fields.items() if name != "clock"},
+            "another clock",
+        ),
+        (lambda fields: [fields], "not an object"),
     ],
 )
-def test_lessons_out_of_kind_bound_or_time_are_not_taught(spoil, why):
-    old = Desk()
+def test_invalid_or_old_snapshot_is_rejected(corrupt, reason):
+    old = RouterHarness()
     old.serve(1, session="s")
-    found = warm_start.capture(old.router, old.now, CLOCK).encode()
-    with pytest.raises(warm_start.InvalidSnapshotError, match=why):
-        warm_start.decode(spoil(copy.deepcopy(found)), old.now, CLOCK)
+    snapshot = warm_start.capture(old.router, old.now, CLOCK_ID).encode()
+    with pytest.raises(warm_start.InvalidSnapshotError, match=reason):
+        warm_start.decode(corrupt(copy.deepcopy(snapshot)), old.now, CLOCK_ID)
 
 
-def test_lessons_are_of_no_use_where_the_clock_has_no_name():
-    found = warm_start.capture(Desk().router, 0, "").encode()
+def test_snapshot_without_a_clock_name_is_rejected():
+    snapshot = warm_start.capture(RouterHarness().router, 0, "").encode()
     with pytest.raises(warm_start.InvalidSnapshotError, match="another clock"):
-        warm_start.decode(found, 0, "")
+        warm_start.decode(snapshot, 0, "")
 
 
 @settings(max_examples=200, deadline=None)
@@ -120,15 +150,15 @@
         ["lags", "recent", "rates", "engines", "sessions", "prefixes", "home_kept", "at"]
     ),
 )
-def test_whatever_a_field_holds_the_lessons_are_judged_or_unfit_and_teaching_holds(junk, field):
-    old = Desk()
+def test_arbitrary_field_is_rejected_or_can_be_restored(value, field):
+    old = RouterHarness()
     old.serve(1, session="s", prefix="p", prefix_tokens=100)
-    found = warm_start.capture(old.router, old.now, CLOCK).encode() | {field: junk}
+    snapshot = warm_start.capture(old.router, old.now, CLOCK_ID).encode() | {field: value}
     try:
-        judged = warm_start.decode(json.loads(json.dumps(found)), old.now, CLOCK)
+        decoded = warm_start.decode(json.loads(json.dumps(snapshot)), old.now, CLOCK_ID)
     except (warm_start.InvalidSnapshotError, ValueError):
         return
-    new = Desk()
+    new = RouterHarness()
     new.now = old.now
-    warm_start.restore(new.router, judged, new.now)
+    warm_start.restore(new.router, decoded, new.now)
     new.serve(2, session="s", prefix="p", prefix_tokens=100)
