--- a/claycross/gateway/lifecycle.py
+++ b/claycross/gateway/lifecycle.py
@@ -122,7 +122,7 @@
 
     def shutdown_schedule(self) -> ShutdownSchedule:
         """Return the schedule for the deadlines of all request classes."""
-        return ShutdownSchedule.of(
+        return ShutdownSchedule.for_deadlines(
             request_class.timeout
             for manager in self.parts.managers
             for request_class in manager.settings.classes.values()
@@ -130,7 +130,7 @@
 
     def stop_frontends(self, schedule: ShutdownSchedule) -> None:
         """Drain the frontends, and close them once no more connections are accepted."""
-        accepts_waiting = schedule.accepts_waiting - schedule.accepts
+        accepts_waiting = schedule.accepts_queued - schedule.accepts
         for frontend in self.parts.frontends:
             frontend.start_draining()
             if frontend.listener.shared:
--- a/claycross/recovery/shutdown_schedule.py
+++ b/claycross/recovery/shutdown_schedule.py
@@ -1,9 +1,9 @@
 """The schedule of a graceful shutdown, from SIGTERM to the platform's kill.
 
 All times derive from the earliest time at which the platform may kill the process: the longest
-request deadline of the deployment, counted as LONGEST_COUNTED at most, plus KILL_AFTER_DEADLINE. No
-reply and no end of a stream is scheduled later than that. This module does no I/O and reads no
-clock; times are nanoseconds.
+request deadline of the deployment, counted as MAX_COUNTED_DEADLINE_NS at most, plus
+KILL_AFTER_DEADLINE_NS. No reply and no end of a stream is scheduled later than that. This module
+does no I/O and reads no clock; times are nanoseconds.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 MS = 1_000_000  # ns
 # Longer deadlines count as this one.
-LONGEST_COUNTED = 3000 * MS
-KILL_AFTER_DEADLINE = 700 * MS
+MAX_COUNTED_DEADLINE_NS = 3000 * MS
+KILL_AFTER_DEADLINE_NS = 700 * MS
 # From the end of all replies to the kill, as the process may stall and clients may read slowly.
 ANSWER_MARGIN = 400 * MS
 # The clients' load balancer needs up to 400 ms to notice that this process is draining.
@@ -32,23 +32,23 @@
     """The steps of a shutdown, in ns after SIGTERM."""
 
     accepts: int  # new connections are accepted until then
-    accepts_waiting: int  # connections in the kernel's queue are accepted until then
+    accepts_queued: int  # connections in the kernel's queue are accepted until then
     hand_back: int  # streams that still run are ended from then on
     answered: int  # every request is answered and every stream has ended by then
 
     @staticmethod
-    def of(deadlines: Iterable[int]) -> ShutdownSchedule:
+    def for_deadlines(deadlines: Iterable[int]) -> ShutdownSchedule:
         """Return the schedule for the deadlines of a deployment's request classes.
 
-        Without any deadline LONGEST_COUNTED applies.
+        Without any deadline MAX_COUNTED_DEADLINE_NS applies.
         """
-        longest = min(max(deadlines, default=LONGEST_COUNTED), LONGEST_COUNTED)
-        answered = longest + KILL_AFTER_DEADLINE - ANSWER_MARGIN
+        longest = min(max(deadlines, default=MAX_COUNTED_DEADLINE_NS), MAX_COUNTED_DEADLINE_NS)
+        answered = longest + KILL_AFTER_DEADLINE_NS - ANSWER_MARGIN
         accepts = min(ACCEPT_TIME, answered)
         hand_back_span = min(HAND_BACK_SPAN, int(MAX_HAND_BACK_SHARE * answered))
         return ShutdownSchedule(
             accepts=accepts,
-            accepts_waiting=max(accepts, answered - QUEUE_MARGIN),
+            accepts_queued=max(accepts, answered - QUEUE_MARGIN),
             hand_back=answered - hand_back_span,
             answered=answered,
         )
