--- a/claycross/recovery/shutdown_schedule.py
+++ b/claycross/recovery/shutdown_schedule.py
@@ -16,14 +16,14 @@
 MAX_COUNTED_DEADLINE_NS = 3000 * MS
 KILL_AFTER_DEADLINE_NS = 700 * MS
 # From the end of all replies to the kill, as the process may stall and clients may read slowly.
-ANSWER_MARGIN = 400 * MS
+ANSWER_MARGIN_NS = 400 * MS
 # The clients' load balancer needs up to 400 ms to notice that this process is draining.
-ACCEPT_TIME = 500 * MS
+ACCEPT_TIME_NS = 500 * MS
 # From the last accept of connections in the kernel's queue to the end of all replies.
-QUEUE_MARGIN = 300 * MS
+QUEUE_MARGIN_NS = 300 * MS
 # Streams that still run are ended one after the other over this time before the end.
-HAND_BACK_SPAN = 900 * MS
-# The largest share of the time until the end of all replies that HAND_BACK_SPAN may take.
+HAND_BACK_SPAN_NS = 900 * MS
+# The largest share of the time until the end of all replies that HAND_BACK_SPAN_NS may take.
 MAX_HAND_BACK_SHARE = 0.5
 
 
@@ -43,12 +43,12 @@
         Without any deadline MAX_COUNTED_DEADLINE_NS applies.
         """
         longest = min(max(deadlines, default=MAX_COUNTED_DEADLINE_NS), MAX_COUNTED_DEADLINE_NS)
-        answered = longest + KILL_AFTER_DEADLINE_NS - ANSWER_MARGIN
-        accepts = min(ACCEPT_TIME, answered)
-        hand_back_span = min(HAND_BACK_SPAN, int(MAX_HAND_BACK_SHARE * answered))
+        answered = longest + KILL_AFTER_DEADLINE_NS - ANSWER_MARGIN_NS
+        accepts = min(ACCEPT_TIME_NS, answered)
+        hand_back_span = min(HAND_BACK_SPAN_NS, int(MAX_HAND_BACK_SHARE * answered))
         return ShutdownSchedule(
             accepts=accepts,
-            accepts_queued=max(accepts, answered - QUEUE_MARGIN),
+            accepts_queued=max(accepts, answered - QUEUE_MARGIN_NS),
             hand_back=answered - hand_back_span,
             answered=answered,
         )
--- a/claycross/requests/manager.py
+++ b/claycross/requests/manager.py
@@ -260,7 +260,7 @@
             request.reply.fail()
 
     def hand_back_stream(self, request: Request) -> None:
-        """End a stream before its last chunk, so that its client requests the rest anew."""
+        """End a stream before its last chunk, so that its client requests the rest again."""
         attempt = request.streaming_attempt
         if attempt and not attempt.finished:
             self.engine_calls.abort(attempt)
@@ -326,7 +326,7 @@
             begin()
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the first byte of an attempt may be sent; asked right before it is sent."""
+        """Tell whether the first byte of an attempt may be sent; called right before it is sent."""
         return self.checks.may_send(attempt)
 
     def attempt_sent(self, attempt: Attempt) -> None:
