--- a/claycross/upstream/http2_peer.py
+++ b/claycross/upstream/http2_peer.py
@@ -77,7 +77,7 @@
             return
         self.unspoken = self.account.unspoken
         if self.unspoken:
-            self.client.log(f"http2-unspoken engine={self.endpoint} proof={self.account.proof}")
+            self.client.log(f"http2-unsupported engine={self.endpoint} proof={self.account.proof}")
 
     def carry_out(self, order: Order) -> None:
         """Carry out one order of the account."""
--- a/claycross/upstream/responses.py
+++ b/claycross/upstream/responses.py
@@ -105,7 +105,7 @@
     def log_malformed(self, error: object) -> None:
         """Log that the response does not follow the protocol."""
         if not self.attempt.finished:
-            self.manager.log(f"engine-junk engine={self.attempt.engine} {error}")
+            self.manager.log(f"engine-malformed-response engine={self.attempt.engine} {error}")
 
     def end(self, trailers: dict[str, str] | None = None) -> AttemptEnd:
         """Evaluate the complete response."""
@@ -136,7 +136,7 @@
         if not self.outgoing.is_complete(self.body):
             # An engine that drains may respond with what it had done so far.
             engine = self.attempt.engine
-            self.manager.log(f"engine-partial engine={engine} bytes={len(self.body)}")
+            self.manager.log(f"engine-incomplete-response engine={engine} bytes={len(self.body)}")
             return AttemptResult.ERROR
         if not self.manager.stream_started(self.attempt):
             return AttemptResult.CANCELLED
@@ -154,7 +154,9 @@
             self.manager.rejected_by_engine(self.attempt, self.status)
             return AttemptResult.CANCELLED_BEFORE_SEND
         if self.status != ERROR_STATUS:
-            self.manager.log(f"engine-answer engine={self.attempt.engine} status={self.status}")
+            self.manager.log(
+                f"engine-unexpected-status engine={self.attempt.engine} status={self.status}"
+            )
         return AttemptResult.ERROR
 
 
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -221,7 +221,7 @@
     answer = s.chat(cls=cls, timeout=20_000)
     assert answer.status == status and (status != 200 or answer.body == WHOLE)
     assert sum(len(e.asked) for e in writers) == sent
-    assert "engine-junk" in s.log() or spoilt in (
+    assert "engine-malformed-response" in s.log() or spoilt in (
         STREAM[:-2],
         STREAM + HALF,
     )  # the module is sooner there
