--- a/claycross/config/operator_files.py
+++ b/claycross/config/operator_files.py
@@ -63,16 +63,16 @@
         if idle_close:
             idle = min(idle, idle_close // 2)
         return ConnectionLimits(
-            connections=self.connections,
-            streams=self.streams,
-            waiting=self.waiting,
-            wait=self.wait_ms * MS,
-            opening=self.settings_ms * MS,
-            idle=idle,
+            max_connections=self.connections,
+            max_streams=self.streams,
+            max_waiting=self.waiting,
+            request_wait=self.wait_ms * MS,
+            settings_timeout=self.settings_ms * MS,
+            idle_timeout=idle,
             ping_after=self.ping_after_ms * MS,
-            ping_wait=self.ping_wait_ms * MS,
-            recheck=self.recheck_s * SECOND,
-            noise=self.noise,
+            ping_timeout=self.ping_wait_ms * MS,
+            recheck_after=self.recheck_s * SECOND,
+            max_overhead_frames=self.noise,
         )
 
 
--- a/claycross/frontends/chat.py
+++ b/claycross/frontends/chat.py
@@ -10,7 +10,7 @@
 from ..net.http1 import encode_response
 from ..net.loop import MS, Connection, EventLoop
 from ..requests.manager import RequestManager
-from ..upstream.interface import HOP, OutgoingRequest
+from ..upstream.interface import UNFORWARDED_HEADERS, OutgoingRequest
 from .base import Frontend
 from .errors import RequestError, plain_text
 from .exchange import SEND_TIMEOUT, AcceptedRequest, ClientRequest, Exchange
@@ -70,7 +70,7 @@
         if head.method != "POST":
             raise RequestError(405, "POST only", [("Allow", "POST")])
         arrival = self.arrival(request)
-        headers = [field for field in head.raw if field[0].lower() not in HOP]
+        headers = [field for field in head.raw if field[0].lower() not in UNFORWARDED_HEADERS]
         payload = OutgoingRequest(head.method, head.target, headers, request.body)
         exchange = Exchange(self, connection, request.closes)
         accepted = self.manager.accept(arrival, head.get("x-request-id"), payload, exchange)
--- a/claycross/frontends/embeddings.py
+++ b/claycross/frontends/embeddings.py
@@ -13,7 +13,7 @@
 from ..net.http1 import Head, encode_response
 from ..net.loop import MS, SECOND, Connection, EventLoop
 from ..requests.manager import RequestManager
-from ..upstream.interface import HOP, OutgoingRequest
+from ..upstream.interface import UNFORWARDED_HEADERS, OutgoingRequest
 from .base import Frontend
 from .embeddings_api import ApiRequest, parse_body, read_embeddings, read_rerank
 from .errors import ErrorContent, RequestError, json_error
@@ -147,7 +147,7 @@
         self, request: ClientRequest, key: str, api_request: ApiRequest
     ) -> OutgoingRequest:
         """Return the request as it is forwarded to an engine."""
-        dropped = HOP | PRIVATE_HEADERS
+        dropped = UNFORWARDED_HEADERS | PRIVATE_HEADERS
         headers = [field for field in request.head.raw if field[0].lower() not in dropped]
         return OutgoingRequest(
             request.head.method,
--- a/claycross/upstream/client.py
+++ b/claycross/upstream/client.py
@@ -20,7 +20,7 @@
         Meanwhile `attempt.abort()` ends it, and returns whether a part of it may have run.
 
         Raises:
-            ProtocolNotSpoken: If the engine does not speak this protocol.
+            ProtocolNotSupportedError: If the engine does not speak this protocol.
         """
         ...
 
@@ -36,7 +36,7 @@
         Returns None without a response, or where `is_wanted` denies it before it is written.
 
         Raises:
-            ProtocolNotSpoken: If the engine does not speak this protocol.
+            ProtocolNotSupportedError: If the engine does not speak this protocol.
         """
         ...
 
--- a/claycross/upstream/connection_pool.py
+++ b/claycross/upstream/connection_pool.py
@@ -9,7 +9,7 @@
 from ..net.loop import MS, SECOND, Connection, ConnectionClosedError, EventLoop, NoLocalSocketError
 
 # Rest of a connection after use: what its engine sends behind a response has arrived by then.
-REST = 10 * MS
+REUSE_DELAY_NS = 10 * MS
 CAPACITY_CHECK_INTERVAL = 5 * MS  # between looks whether a pool at its limit has capacity
 SWEEP_INTERVAL = SECOND  # between removals of connections that are too old
 
@@ -42,7 +42,7 @@
         """Return an idle connection that its engine does not close soon, or else a new one."""
         waiting = self.idle.get(address, [])
         self.drop_old(waiting)
-        rested = self.loop.now() - REST
+        rested = self.loop.now() - REUSE_DELAY_NS
         while True:
             index = newest_before(waiting, rested)
             if index is None:
--- a/claycross/upstream/engine_calls.py
+++ b/claycross/upstream/engine_calls.py
@@ -10,7 +10,7 @@
 from ..requests.manager import Attempt, RequestManager
 from .client import EngineClient
 from .http1 import ConnectionPool, Http1Client
-from .interface import ERROR, NOT_SENT, AttemptEnd, CallResponse, ProtocolNotSpoken, always
+from .interface import ERROR, NOT_SENT, AttemptEnd, CallResponse, ProtocolNotSupportedError, always
 from .responses import ResponseReader
 
 HTTP2_PROTOCOL = "h2c"  # as an entry of the list says that an engine speaks HTTP/2
@@ -121,7 +121,7 @@
         client = self.client(endpoint)
         try:
             return client.attempt(attempt, endpoint, ResponseReader(self.manager, attempt))
-        except ProtocolNotSpoken:
+        except ProtocolNotSupportedError:
             return self.http1.attempt(attempt, endpoint, ResponseReader(self.manager, attempt))
 
     # ------------------------------------------------------------ calls that carry no request
@@ -144,7 +144,7 @@
             if endpoint:
                 try:
                     response = self.client(endpoint).call(endpoint, method, target, is_wanted)
-                except ProtocolNotSpoken:
+                except ProtocolNotSupportedError:
                     pass
                 else:
                     on_response(response)
--- a/claycross/upstream/http1.py
+++ b/claycross/upstream/http1.py
@@ -25,7 +25,7 @@
     TimeoutExpired,
 )
 from ..requests.manager import Attempt
-from .connection_pool import REST, ConnectionPool
+from .connection_pool import REUSE_DELAY_NS, ConnectionPool
 from .interface import (
     CONNECT_FAILED,
     NOT_SENT,
@@ -37,7 +37,7 @@
 )
 from .responses import OK, SMALL, ResponseReader
 
-__all__ = ["CALL_WAIT", "REST", "ConnectionPool", "Http1Client"]
+__all__ = ["CALL_WAIT", "REUSE_DELAY_NS", "ConnectionPool", "Http1Client"]
 
 CALL_WAIT = 400 * MS  # for the response to a call that carries no request
 CALL_ATTEMPTS = 2  # a connection that was used before and broke is replaced once
--- a/claycross/upstream/http2.py
+++ b/claycross/upstream/http2.py
@@ -26,7 +26,7 @@
     RESET,
     AttemptEnd,
     CallResponse,
-    ProtocolNotSpoken,
+    ProtocolNotSupportedError,
     always,
 )
 from .responses import SMALL, ResponseReader
@@ -49,7 +49,7 @@
         pool: ConnectionPool,
         may_send: Callable[[Attempt], bool],
         log: Callable[[str], None],
-        bounds: ConnectionLimits,
+        limits: ConnectionLimits,
         window: int,
         body_wait: int,
         background: bool = False,
@@ -59,7 +59,7 @@
         self.pool = pool
         self.may_send = may_send
         self.log = log
-        self.bounds = bounds
+        self.limits = limits
         self.window = window
         self.body_wait = body_wait
         self.background = background
@@ -78,14 +78,14 @@
         """Return the peer of an endpoint.
 
         Raises:
-            ProtocolNotSpoken: If HTTP/2 is taken not to be spoken there.
+            ProtocolNotSupportedError: If HTTP/2 is taken not to be spoken there.
         """
         peer = self.peers.get(endpoint)
         if peer is None:
             peer = Peer(self, endpoint)
             self.peers[endpoint] = peer
         if not peer.account.speaks(self.loop.now()):
-            raise ProtocolNotSpoken
+            raise ProtocolNotSupportedError
         return peer
 
     def all_peers(self) -> list[Peer]:
@@ -142,7 +142,7 @@
         request = StreamRequest(outgoing.method, outgoing.target, headers, outgoing.body, may_send)
         stream = Stream(peer, request)
         attempt.abort = stream.leave
-        peer.ask(stream, False, self.bounds.wait)
+        peer.ask(stream, False, self.limits.request_wait)
         try:
             return self.read(stream, reader)
         except ConnectionClosedError:
@@ -183,7 +183,7 @@
             reader.request_sent()
             return RESET
         if why == NOT_SPOKEN_REASON:
-            raise ProtocolNotSpoken
+            raise ProtocolNotSupportedError
         if why in FULL_REASONS:
             return AttemptEnd(AttemptResult.ENGINE_FULL)
         return CONNECT_FAILED
@@ -220,7 +220,7 @@
                 case wire.Ended():
                     return CallResponse(status, body)
                 case Over(_, StreamOutcome.NOT_PROCESSED, why) if why == NOT_SPOKEN_REASON:
-                    raise ProtocolNotSpoken
+                    raise ProtocolNotSupportedError
                 case Over() | None:
                     return None
         return None
--- a/claycross/upstream/http2_peer.py
+++ b/claycross/upstream/http2_peer.py
@@ -25,7 +25,7 @@
 class PeerClient(ClientContext, Protocol):
     """What a peer needs of the client, beside what its connections need."""
 
-    bounds: ConnectionLimits
+    limits: ConnectionLimits
     body_wait: int
     dialled: int
 
@@ -41,7 +41,7 @@
     def __init__(self, client: PeerClient, endpoint: Endpoint):
         self.client = client
         self.endpoint = endpoint
-        self.account = StreamAccount(client.bounds)
+        self.account = StreamAccount(client.limits)
         self.connections: dict[int, Http2Connection] = {}  # by the account's numbers
         self.working = False
         self.unspoken = 0  # of the account, as last logged
--- a/claycross/upstream/interface.py
+++ b/claycross/upstream/interface.py
@@ -11,7 +11,7 @@
 UNLIMITED = 1 << 62  # bytes
 # Headers that are not forwarded: those of one hop (RFC 9110, 7.6.1), and those that each request to
 # an engine has anew.
-HOP = {
+UNFORWARDED_HEADERS = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -70,7 +70,7 @@
     body: bytes
 
 
-class ProtocolNotSpoken(Exception):
+class ProtocolNotSupportedError(Exception):
     """The engine does not speak this protocol; nothing of the request was sent."""
 
 
--- a/claycross/upstream/stream_accounting.py
+++ b/claycross/upstream/stream_accounting.py
@@ -44,8 +44,8 @@
 class StreamAccount:
     """The account of one server, as long as the list names the same process there."""
 
-    def __init__(self, bounds: ConnectionLimits):
-        self.bounds = bounds
+    def __init__(self, limits: ConnectionLimits):
+        self.limits = limits
         self.links: list[ConnectionRecord] = []  # the connections, oldest first
         self.calls: deque[Ticket] = deque()  # that wait for a place
         self.requests: deque[Ticket] = deque()  # that wait for a place
@@ -55,7 +55,7 @@
         self.proof = ""  # of that: "junk", "closed" or "silent"
         self.proven = False  # HTTP/2 was spoken there once
         self.not_before = 0  # no connection is opened until then
-        self.pause = bounds.hold_back  # after the next connection that serves nothing
+        self.pause = limits.initial_backoff  # after the next connection that serves nothing
         self.last = 0  # number of the newest connection
         self.leaving = False  # the server has left the list
         self.counts: Counter[str] = Counter()
@@ -71,7 +71,7 @@
 
         The ticket waits for it no longer than `wait` and the limit.
         """
-        longest = self.bounds.call_wait if call else self.bounds.wait
+        longest = self.limits.call_wait if call else self.limits.request_wait
         if wait is not None:
             longest = min(longest, max(0, wait))
         ticket = Ticket(call, now + longest, owner)
@@ -80,7 +80,7 @@
             self.over(ticket, StreamOutcome.NOT_PROCESSED, "left the list")
         elif self.held_back(now):
             self.over(ticket, StreamOutcome.NOT_PROCESSED, "held back")
-        elif len(queue) >= self.bounds.waiting:
+        elif len(queue) >= self.limits.max_waiting:
             self.over(ticket, StreamOutcome.NOT_PROCESSED, "too many wait")
         else:
             queue.append(ticket)
@@ -154,7 +154,7 @@
         if ticket.connection:
             ticket.connection.served += 1
         self.proven = True
-        self.pause = self.bounds.hold_back
+        self.pause = self.limits.initial_backoff
         self.counts["answered"] += 1
         self.leave(ticket, now)
 
@@ -190,7 +190,7 @@
 
         Streams beyond a lower limit go on, and none is added.
         """
-        connection.limit = max(0, min(limit, self.bounds.streams))
+        connection.limit = max(0, min(limit, self.limits.max_streams))
 
     def unopened(self, connection: ConnectionRecord, how: str, now: int) -> None:
         """Note that a connection was not established; nothing was sent on it.
@@ -209,7 +209,7 @@
         elif how == "junk" or not self.proven:
             # A server that closes or is silent without ever having spoken HTTP/2 may have a
             # temporary fault: it is tried again later.
-            self.unspoken = NOT_SPOKEN if how == "junk" else now + self.bounds.recheck
+            self.unspoken = NOT_SPOKEN if how == "junk" else now + self.limits.recheck_after
             self.proof = how
             self.counts["unspoken"] += 1
             self.fail_waiting("not spoken")
@@ -264,9 +264,12 @@
     def heard(self, connection: ConnectionRecord, now: int, noise: int = 0) -> None:
         """Note that bytes arrived; `noise`: frames among them that carry nothing of a response."""
         if noise:
-            forgiven = (now - connection.heard) * self.bounds.noise / (2 * SECOND)
+            forgiven = (now - connection.heard) * self.limits.max_overhead_frames / (2 * SECOND)
             connection.noise = max(0.0, connection.noise - forgiven) + noise
-            if connection.noise > self.bounds.noise and connection.phase is not Phase.GONE:
+            if (
+                connection.noise > self.limits.max_overhead_frames
+                and connection.phase is not Phase.GONE
+            ):
                 self.counts["flood"] += 1
                 self.cut(connection, "flood of frames that carry nothing", now)
         connection.heard = now
@@ -300,7 +303,7 @@
     def tick_connection(self, connection: ConnectionRecord, now: int) -> None:
         """Do what is due on one connection."""
         if connection.phase is Phase.OPENING:
-            if now - connection.since >= self.bounds.opening:
+            if now - connection.since >= self.limits.settings_timeout:
                 self.unopened(connection, "silent", now)
                 self.owed.append(Close(connection, "no settings", True))
         elif self.needs_liveness(connection) and self.liveness_due(connection, now):
@@ -318,8 +321,8 @@
     def liveness_due(self, connection: ConnectionRecord, now: int) -> bool:
         """Return whether the connection has been silent for long enough to act."""
         if connection.pinged_at:
-            return now - connection.pinged_at >= self.bounds.ping_wait
-        return now - connection.heard >= self.bounds.ping_after
+            return now - connection.pinged_at >= self.limits.ping_timeout
+        return now - connection.heard >= self.limits.ping_after
 
     def check_liveness(self, connection: ConnectionRecord, now: int) -> None:
         """Send a PING, or close a connection that did not answer one."""
@@ -332,7 +335,9 @@
 
     def is_retired(self, connection: ConnectionRecord, now: int) -> bool:
         """Return whether a connection without streams is closed now."""
-        return connection.phase is Phase.CLOSING or now - connection.since >= self.bounds.idle
+        return (
+            connection.phase is Phase.CLOSING or now - connection.since >= self.limits.idle_timeout
+        )
 
     # ------------------------------------------------------------ orders
 
@@ -381,7 +386,7 @@
         ready = [link for link in self.links if link.phase is Phase.READY]
         if ready and not any(link.limit for link in ready):
             return False
-        limit = self.bounds.connections + (1 if self.calls else 0)
+        limit = self.limits.max_connections + (1 if self.calls else 0)
         return len(ready) < limit and len(self.links) < 2 * limit
 
     def held_back(self, now: int) -> bool:
@@ -395,7 +400,7 @@
         after connection.
         """
         self.not_before = now + self.pause
-        self.pause = min(2 * self.pause, self.bounds.hold_back_most)
+        self.pause = min(2 * self.pause, self.limits.max_backoff)
         if self.held_back(now):
             self.fail_waiting("held back")
 
@@ -461,9 +466,11 @@
     def check(self) -> None:
         """Check the invariants of the account."""
         ready = [link for link in self.links if link.phase is Phase.READY]
-        invariant(len(ready) <= self.bounds.connections + 1, "connections-bounded", str(len(ready)))
+        invariant(
+            len(ready) <= self.limits.max_connections + 1, "connections-bounded", str(len(ready))
+        )
         longest_queue = max(len(self.calls), len(self.requests))
-        invariant(longest_queue <= self.bounds.waiting, "waiting-bounded")
+        invariant(longest_queue <= self.limits.max_waiting, "waiting-bounded")
         for connection in self.links:
             self.check_connection(connection)
 
--- a/claycross/upstream/stream_records.py
+++ b/claycross/upstream/stream_records.py
@@ -48,19 +48,21 @@
 class ConnectionLimits:
     """The limits for one server; times in nanoseconds."""
 
-    connections: int = 2  # open to it at once, beside those that close
-    streams: int = 256  # on one connection, whatever the server allows
-    waiting: int = 64  # requests, and as many calls, that wait for a place
-    wait: int = 250 * MS  # of a request for its place
+    max_connections: int = 2  # open to it at once, beside those that close
+    max_streams: int = 256  # on one connection, whatever the server allows
+    max_waiting: int = 64  # requests, and as many calls, that wait for a place
+    request_wait: int = 250 * MS  # of a request for its place
     call_wait: int = 400 * MS  # of a call for its place
-    opening: int = 300 * MS  # until the server's own SETTINGS arrive
-    idle: int = 30 * SECOND  # without a stream, until it is retired
+    settings_timeout: int = 300 * MS  # until the server's own SETTINGS arrive
+    idle_timeout: int = 30 * SECOND  # without a stream, until it is retired
     ping_after: int = SECOND  # of silence while streams are open
-    ping_wait: int = SECOND  # for any bytes after that
-    recheck: int = 30 * SECOND  # after silence in place of SETTINGS, until HTTP/2 is tried again
-    hold_back: int = 100 * MS  # after a connection that served nothing; doubles
-    hold_back_most: int = 5 * SECOND
-    noise: int = 1000  # frames that carry nothing, at once; half of it a second
+    ping_timeout: int = SECOND  # for any bytes after that
+    recheck_after: int = (
+        30 * SECOND
+    )  # after silence in place of SETTINGS, until HTTP/2 is tried again
+    initial_backoff: int = 100 * MS  # after a connection that served nothing; doubles
+    max_backoff: int = 5 * SECOND
+    max_overhead_frames: int = 1000  # frames that carry nothing, at once; half of it a second
 
 
 class Ticket:
--- a/tests/gateway/test_crossings.py
+++ b/tests/gateway/test_crossings.py
@@ -16,7 +16,7 @@
 import pytest
 
 from claycross.net.loop import MS, SECOND, Connection, EventLoop, TimeoutExpired
-from claycross.upstream.http1 import REST
+from claycross.upstream.http1 import REUSE_DELAY_NS
 from standins.servers import EVENTS, NEVER, Client, Discovery, Engine, chat, eventually, passes
 from tests.gateway.test_gateway import WHOLE, held, silent
 
@@ -554,7 +554,7 @@
     with s.client() as c:
         assert chat(c, cls="licence").answer().body == WHOLE
         assert chat(c, cls="licence").answer().body == WHOLE
-    assert all(rest >= REST / SECOND for rest in rests), rests
+    assert all(rest >= REUSE_DELAY_NS / SECOND for rest in rests), rests
     assert len(writer.asked) >= 1
 
 
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -19,7 +19,7 @@
 from claycross import interface as i
 from claycross.net.loop import Timer
 from claycross.requests.manager import RequestManager
-from claycross.upstream.http1 import REST
+from claycross.upstream.http1 import REUSE_DELAY_NS
 from standins.servers import (
     EVENTS,
     NEVER,
@@ -52,7 +52,7 @@
 def rested():
     """Until an engine's connection may be used again: what comes behind an answer is seen by
     then."""
-    passes(3 * REST / SECOND)
+    passes(3 * REUSE_DELAY_NS / SECOND)
 
 
 def read_well(engine, request, wire):
--- a/tests/upstream/test_stream_accounting.py
+++ b/tests/upstream/test_stream_accounting.py
@@ -25,16 +25,21 @@
     StreamStage,
 )
 
-BOUNDS = ConnectionLimits(
-    connections=2, streams=50, waiting=5, wait=250 * MS, idle=4 * SECOND, noise=100
+LIMITS = ConnectionLimits(
+    max_connections=2,
+    max_streams=50,
+    max_waiting=5,
+    request_wait=250 * MS,
+    idle_timeout=4 * SECOND,
+    max_overhead_frames=100,
 )
 
 
 class Driver:
     """Carries out orders as a driver would, and keeps what they said."""
 
-    def __init__(self, **bounds):
-        self.account, self.now = StreamAccount(replace(BOUNDS, **bounds)), SECOND
+    def __init__(self, **limits):
+        self.account, self.now = StreamAccount(replace(LIMITS, **limits)), SECOND
         self.over, self.pinged, self.closed, self.dialled, self.begun = {}, [], [], [], []
         self.next = {}  # stream ids, by connection
 
@@ -355,7 +360,7 @@
 
     def __init__(self):
         super().__init__()
-        self.d = Driver(connections=3)
+        self.d = Driver(max_connections=3)
         self.tickets, self.withdrawn = [], {}
         self.ran = set()  # tickets that the server runs or has run
         self.shut = {}  # connection -> the last id that the server will run
@@ -476,8 +481,8 @@
             assert (t in waiting) == (t.stage is StreamStage.WAITING)
             if t.stage in (StreamStage.BEGUN, StreamStage.COMMITTED, StreamStage.SENT):
                 assert t.connection in a.links and t.connection.tickets[t.stream] is t
-        assert len(a.links) <= 2 * (a.bounds.connections + 1)
-        assert len(waiting) <= 2 * a.bounds.waiting
+        assert len(a.links) <= 2 * (a.limits.max_connections + 1)
+        assert len(waiting) <= 2 * a.limits.max_waiting
 
 
 Books.TestCase.settings = settings(
