--- a/claycross/upstream/__init__.py
+++ b/claycross/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to engines, one client for each wire behind one small interface, and their connections."""
+"""Clients for requests to engines, one for each protocol, and their connections."""
--- a/claycross/upstream/client.py
+++ b/claycross/upstream/client.py
@@ -12,15 +12,16 @@
 
 
 class EngineClient(Protocol):
-    """The client of one protocol; attempt() and call() run, and wait, in a task of their own."""
+    """The client of one protocol. attempt() and call() block the task that they run in."""
 
     def attempt(self, attempt: Attempt, endpoint: Endpoint, reader: ResponseReader) -> AttemptEnd:
         """Send the request of an attempt and feed its response to the reader.
 
-        Meanwhile `attempt.abort()` ends it, and returns whether a part of it may have run.
+        While this runs, `attempt.abort()` ends it and returns whether the engine may have run a
+        part of the request.
 
         Raises:
-            ProtocolNotSupportedError: If the engine does not speak this protocol.
+            ProtocolNotSupportedError: If the engine does not support this protocol.
         """
         ...
 
@@ -33,25 +34,26 @@
     ) -> CallResponse | None:
         """Make a small idempotent call.
 
-        Returns None without a response, or where `is_wanted` denies it before it is written.
+        Returns None if there is no response, or if `is_wanted` returns False right before the call
+        is written.
 
         Raises:
-            ProtocolNotSupportedError: If the engine does not speak this protocol.
+            ProtocolNotSupportedError: If the engine does not support this protocol.
         """
         ...
 
-    def forget(self, endpoint: Endpoint) -> None:
-        """Note that the process there has left the list, or is another one now."""
+    def endpoint_removed(self, endpoint: Endpoint) -> None:
+        """Note that the endpoint list no longer has this process at the endpoint."""
         ...
 
     def endpoint_updated(self, endpoint: Endpoint) -> None:
-        """Note that the list named this endpoint again."""
+        """Note that an update of the endpoint list has this endpoint again."""
         ...
 
     def check(self) -> None:
-        """Check the invariants of its connections."""
+        """Check the invariants of the client's connections."""
         ...
 
     def metrics(self) -> dict[str, int]:
-        """Return its counts for the log, by name."""
+        """Return the client's counts for the log, by name."""
         ...
--- a/claycross/upstream/connection_pool.py
+++ b/claycross/upstream/connection_pool.py
@@ -8,46 +8,55 @@
 from ..net.address import Address
 from ..net.loop import MS, SECOND, Connection, ConnectionClosedError, EventLoop, NoLocalSocketError
 
-# Rest of a connection after use: what its engine sends behind a response has arrived by then.
+# A connection is not reused earlier than this after a response: unexpected bytes that the engine
+# sends behind the response have arrived by then, and the connection is discarded.
 REUSE_DELAY_NS = 10 * MS
-CAPACITY_CHECK_INTERVAL = 5 * MS  # between looks whether a pool at its limit has capacity
-SWEEP_INTERVAL = SECOND  # between removals of connections that are too old
+CAPACITY_POLL_INTERVAL_NS = 5 * MS
+SWEEP_INTERVAL_NS = SECOND
 
 
 class IdleConnection(NamedTuple):
-    """A connection that waits for use, and since when."""
+    """An idle connection and the time at which it became idle."""
 
     connection: Connection
-    since: int
+    idle_since: int
 
 
 class ConnectionPool:
-    """Connections that wait for use, the newest first, and the limit on all of them."""
+    """Idle connections by address, and the limit on open connections to all addresses."""
 
     def __init__(self, loop: EventLoop, limit: int, idle: int, dial_timeout: int):
-        """Keep connections for `idle` nanoseconds after use (0: not at all)."""
+        """Limit open connections to `limit` and close those idle for `idle` nanoseconds.
+
+        With `idle` 0 connections are not reused. `dial_timeout` is in nanoseconds.
+        """
         self.loop = loop
         self.limit = limit
-        self.keep = idle
+        self.idle_timeout = idle
         self.dial_timeout = dial_timeout
-        self.idle: dict[Address, list[IdleConnection]] = {}  # oldest first
-        self.open = 0  # connections in use and those that wait
+        self.idle: dict[Address, list[IdleConnection]] = {}  # each list: longest idle first
+        self.open = 0  # connections, idle and in use
         self.used = 0  # connections in use
-        self.dialled = 0
-        self.reused = 0
+        self.dialled = 0  # counter
+        self.reused = 0  # counter
         if idle:
-            loop.call_later(SWEEP_INTERVAL, self.sweep)
+            loop.call_later(SWEEP_INTERVAL_NS, self.sweep)
 
     def get(self, address: Address) -> Connection:
-        """Return an idle connection that its engine does not close soon, or else a new one."""
-        waiting = self.idle.get(address, [])
-        self.drop_old(waiting)
-        rested = self.loop.now() - REUSE_DELAY_NS
+        """Return an idle connection that its engine does not close soon, or else a new one.
+
+        Raises:
+            NoLocalSocketError: If the pool is at its limit, or the system has no socket left.
+            ConnectionClosedError: If no connection could be established.
+        """
+        idle = self.idle.get(address, [])
+        self.close_expired(idle)
+        latest_idle_since = self.loop.now() - REUSE_DELAY_NS
         while True:
-            index = newest_before(waiting, rested)
+            index = newest_idle_since(idle, latest_idle_since)
             if index is None:
                 return self.dial(address)
-            connection = waiting.pop(index).connection
+            connection = idle.pop(index).connection
             connection.idle = None
             connection.watch()
             self.used += 1
@@ -57,12 +66,17 @@
             self.drop(connection)
 
     def dial(self, address: Address) -> Connection:
-        """Return a new connection, in use until drop() or give()."""
-        until = self.loop.now() + self.dial_timeout
-        while self.open >= self.limit and not self.evict_oldest():
-            if self.loop.now() >= until:
-                raise NoLocalSocketError("no connection: the pool is at its bound")
-            self.loop.sleep(CAPACITY_CHECK_INTERVAL)
+        """Return a new connection, which counts as in use until drop() or give().
+
+        Raises:
+            NoLocalSocketError: If the pool is at its limit, or the system has no socket left.
+            ConnectionClosedError: If no connection could be established.
+        """
+        deadline = self.loop.now() + self.dial_timeout
+        while self.open >= self.limit and not self.evict_longest_idle():
+            if self.loop.now() >= deadline:
+                raise NoLocalSocketError(f"connection pool at its limit of {self.limit}")
+            self.loop.sleep(CAPACITY_POLL_INTERVAL_NS)
         self.open += 1
         self.used += 1
         self.dialled += 1
@@ -74,12 +88,12 @@
             raise
 
     def give(self, address: Address, connection: Connection) -> None:
-        """Put a connection back after use."""
-        if not self.keep or connection.closed:
+        """Return a connection to the pool after use."""
+        if not self.idle_timeout or connection.closed:
             self.drop(connection)
             return
 
-        def discard_idle() -> None:  # closed by the engine, or bytes that nobody asked for
+        def discard_idle() -> None:  # the engine closed it, or sent bytes without a request
             entries = self.idle.get(address, [])
             entries[:] = [entry for entry in entries if entry.connection is not connection]
             self.discard(connection)
@@ -101,20 +115,20 @@
         connection.close()
 
     def check(self) -> None:
-        """Check that every connection that is counted is in use or waits: none was lost."""
-        waiting = [entry.connection for entries in self.idle.values() for entry in entries]
+        """Check that each open connection is idle or in use, and that no idle one is closed."""
+        idle = [entry.connection for entries in self.idle.values() for entry in entries]
         invariant(
-            self.open == len(waiting) + self.used,
+            self.open == len(idle) + self.used,
             "pool-counted",
-            f"open {self.open} waiting {len(waiting)} used {self.used}",
+            f"open {self.open} waiting {len(idle)} used {self.used}",
         )
-        any_closed = any(connection.closed for connection in waiting)
+        any_closed = any(connection.closed for connection in idle)
         invariant(not any_closed, "pool-waiting-open")
 
-    def evict_oldest(self) -> bool:
-        """Close the connection that has waited longest; return whether there was one."""
+    def evict_longest_idle(self) -> bool:
+        """Close the connection that has been idle longest; return whether there was one."""
         entries = [
-            (entry.since, address) for address, waiting in self.idle.items() for entry in waiting
+            (entry.idle_since, address) for address, idle in self.idle.items() for entry in idle
         ]
         if not entries:
             return False
@@ -122,29 +136,29 @@
         self.discard(self.idle[address].pop(0).connection)
         return True
 
-    def drop_old(self, waiting: list[IdleConnection]) -> None:
+    def close_expired(self, idle: list[IdleConnection]) -> None:
         """Close connections that their engine may close soon.
 
-        A request that is not idempotent and is written into a connection that the engine closes
-        might have run. This is checked before each use too: between two sweeps a connection could
-        grow older than its engine allows.
+        A request that is not idempotent might have run if it is written into a connection that
+        the engine closes at the same time. The sweeps alone do not prevent this, as a connection
+        can exceed its engine's idle timeout between two of them: get() calls this too.
         """
-        old = self.loop.now() - self.keep
-        while waiting and waiting[0].since <= old:
-            self.discard(waiting.pop(0).connection)
+        expired_since = self.loop.now() - self.idle_timeout
+        while idle and idle[0].idle_since <= expired_since:
+            self.discard(idle.pop(0).connection)
 
     def sweep(self) -> None:
-        """Close the old connections of all engines."""
-        for address, waiting in list(self.idle.items()):
-            self.drop_old(waiting)
-            if not waiting:
+        """Close the expired connections to all engines."""
+        for address, idle in list(self.idle.items()):
+            self.close_expired(idle)
+            if not idle:
                 del self.idle[address]
-        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
+        self.loop.call_later(SWEEP_INTERVAL_NS, self.sweep)
 
 
-def newest_before(waiting: list[IdleConnection], time: int) -> int | None:
-    """Return the index of the newest connection that has waited since this time or before."""
-    for index in range(len(waiting) - 1, -1, -1):
-        if waiting[index].since <= time:
+def newest_idle_since(idle: list[IdleConnection], latest: int) -> int | None:
+    """Return the index of the newest connection that became idle at this time or earlier."""
+    for index in range(len(idle) - 1, -1, -1):
+        if idle[index].idle_since <= latest:
             return index
     return None
--- a/claycross/upstream/engine_calls.py
+++ b/claycross/upstream/engine_calls.py
@@ -10,15 +10,22 @@
 from ..requests.manager import Attempt, RequestManager
 from .client import EngineClient
 from .http1 import ConnectionPool, Http1Client
-from .interface import ERROR, NOT_SENT, AttemptEnd, CallResponse, ProtocolNotSupportedError, always
+from .interface import (
+    ERROR,
+    NOT_SENT,
+    AttemptEnd,
+    CallResponse,
+    ProtocolNotSupportedError,
+    always,
+)
 from .responses import ResponseReader
 
-HTTP2_PROTOCOL = "h2c"  # as an entry of the list says that an engine speaks HTTP/2
-MAX_REMOVED = 64  # engines that left the list, whose address is kept for releases
+HTTP2_PROTOCOL = "h2c"  # protocol of an endpoint whose engine supports HTTP/2 without TLS
+MAX_REMOVED_ENGINES = 64  # whose endpoints are kept for releases
 
 
 class EngineConnections:
-    """Carries out what one request manager orders of engines (`requests.manager.EngineCalls`)."""
+    """Makes the calls of one request manager (`requests.engine_protocol.EngineCalls`)."""
 
     def __init__(self, loop: EventLoop, pool: ConnectionPool, manager: RequestManager):
         self.loop = loop
@@ -31,12 +38,15 @@
         self.http2_everywhere = False
 
     def enable_http2(self, client: EngineClient, everywhere: bool) -> None:
-        """Use HTTP/2 with the engines that offer it, or also where the list names no protocol."""
+        """Use HTTP/2 for endpoints that offer it.
+
+        If `everywhere`, HTTP/2 is used also for those without a protocol in the endpoint list.
+        """
         self.http2 = client
         self.http2_everywhere = everywhere
 
     def update_endpoints(self, update: EndpointListUpdate, endpoints: dict[str, Endpoint]) -> None:
-        """Take an update of the list, and the endpoints of the engines in it."""
+        """Apply an update of the endpoint list; `endpoints` has its endpoints by engine."""
         before = dict(self.endpoints)
         if update.kind != UpdateKind.CHANGES:
             self.endpoints.clear()
@@ -48,11 +58,11 @@
             self.update_http2(self.http2, update, before, endpoints)
 
     def remove(self, engine: str) -> None:
-        """Remove an engine; its address is kept for a while, for releases."""
+        """Remove an engine; its endpoint is kept for a while, for releases."""
         endpoint = self.endpoints.pop(engine, None)
         if endpoint:
             self.removed[engine] = endpoint
-        while len(self.removed) > MAX_REMOVED:
+        while len(self.removed) > MAX_REMOVED_ENGINES:
             oldest = next(iter(self.removed))
             del self.removed[oldest]
 
@@ -63,17 +73,17 @@
         before: dict[str, Endpoint],
         endpoints: dict[str, Endpoint],
     ) -> None:
-        """Tell the HTTP/2 client which endpoints have gone, and which were named again."""
+        """Notify the HTTP/2 client of the endpoints that were removed or listed again."""
         current = set(self.endpoints.values())
         for endpoint in before.values():
             if endpoint not in current:
-                client.forget(endpoint)
+                client.endpoint_removed(endpoint)
         for engine, endpoint in endpoints.items():
             if update.kind == UpdateKind.CHANGES or before.get(engine) != endpoint:
                 client.endpoint_updated(endpoint)
 
     def client(self, endpoint: Endpoint) -> EngineClient:
-        """Return the client of the protocol that is to be used there."""
+        """Return the client to use for an endpoint."""
         offered = endpoint.protocol == HTTP2_PROTOCOL
         assumed = self.http2_everywhere and not endpoint.protocol
         if self.http2 and (offered or assumed):
@@ -100,11 +110,11 @@
         self.loop.spawn(self.run, attempt, background=attempt.request.payload.background)
 
     def abort(self, attempt: Attempt) -> bool:
-        """End an attempt; return whether a part of it may have run."""
+        """End an attempt; return whether the engine may have run a part of it."""
         return attempt.abort is not None and attempt.abort()
 
     def run(self, attempt: Attempt) -> None:
-        """Make an attempt and report how it ended; whatever goes wrong, it has a result."""
+        """Make an attempt and report its result, also after an unexpected exception."""
         try:
             end = self.attempt(attempt)
         except Exception:
@@ -114,7 +124,7 @@
             self.manager.attempt_done(attempt, *end)
 
     def attempt(self, attempt: Attempt) -> AttemptEnd:
-        """Make an attempt by the protocol that its engine speaks."""
+        """Make an attempt with a protocol that its engine supports."""
         endpoint = self.endpoints.get(attempt.engine) if self.manager.may_send(attempt) else None
         if endpoint is None:
             return NOT_SENT
@@ -124,7 +134,7 @@
         except ProtocolNotSupportedError:
             return self.http1.attempt(attempt, endpoint, ResponseReader(self.manager, attempt))
 
-    # ------------------------------------------------------------ calls that carry no request
+    # ------------------------------------------------------------ calls without a client's request
 
     def call(
         self,
@@ -136,10 +146,10 @@
     ) -> None:
         """Make a small idempotent call in a task of its own.
 
-        `is_wanted` is asked once more when the call can be written, as connecting takes time.
+        `is_wanted` is evaluated right before the call is written, as connecting takes time.
         """
 
-        def work() -> None:
+        def call_engine() -> None:
             endpoint = self.endpoints.get(engine)
             if endpoint:
                 try:
@@ -156,7 +166,7 @@
             else:
                 on_response(None)
 
-        self.loop.spawn(work)
+        self.loop.spawn(call_engine)
 
     def release(
         self,
@@ -165,7 +175,7 @@
         on_result: Callable[[bool], None],
         is_wanted: Callable[[], bool],
     ) -> None:
-        """Release the state that an engine keeps under this key; report whether it responded."""
+        """Release the state that an engine holds under this key; report whether it responded."""
 
         def on_response(response: CallResponse | None) -> None:
             on_result(response is not None)
@@ -175,16 +185,16 @@
     def check_connection(self, engine: str, on_result: Callable[[bool], None]) -> None:
         """Report whether the engine's machine accepts a new connection.
 
-        Nothing is reported where that was not tried. HTTP/2 connections are few, and find out by
-        PING whether their peer is alive.
+        Nothing is reported if no connection was tried: for an engine that is not listed, without
+        pool capacity, and with HTTP/2, whose few connections are checked by PING.
         """
         endpoint = self.endpoints.get(engine)
         if endpoint is None or self.client(endpoint) is not self.http1:
             return
 
-        def work() -> None:
-            reached = self.http1.reaches(endpoint)
-            if reached is not None:
-                on_result(reached)
+        def try_connection() -> None:
+            accepted = self.http1.accepts_connection(endpoint)
+            if accepted is not None:
+                on_result(accepted)
 
-        self.loop.spawn(work)
+        self.loop.spawn(try_connection)
--- a/claycross/upstream/http1.py
+++ b/claycross/upstream/http1.py
@@ -35,17 +35,17 @@
     OutgoingRequest,
     always,
 )
-from .responses import OK, SMALL, ResponseReader
+from .responses import MAX_UNFORWARDED_BYTES, OK_STATUS, ResponseReader
 
-__all__ = ["CALL_WAIT", "REUSE_DELAY_NS", "ConnectionPool", "Http1Client"]
+__all__ = ["CALL_TIMEOUT_NS", "REUSE_DELAY_NS", "ConnectionPool", "Http1Client"]
 
-CALL_WAIT = 400 * MS  # for the response to a call that carries no request
-CALL_ATTEMPTS = 2  # a connection that was used before and broke is replaced once
-MAX_CHUNK = 1 << 20  # bytes of a chunk of a large response
+CALL_TIMEOUT_NS = 400 * MS  # for each read of the response to a call
+CALL_ATTEMPTS = 2  # the second one replaces a reused connection that turned out to be broken
+MAX_CHUNK_BYTES = 1 << 20  # of a chunked response that may be larger than MAX_BODY
 
 
 class SmallResponse(NamedTuple):
-    """A response that was read as a whole, and whether its connection may be used again."""
+    """A response that was read as a whole, and whether its connection may be reused."""
 
     head: Head
     body: bytes
@@ -53,10 +53,10 @@
 
 
 class Http1Client:
-    """The client of this protocol (`client.EngineClient`)."""
+    """The client of HTTP/1.1 (`client.EngineClient`)."""
 
     def __init__(self, loop: EventLoop, pool: ConnectionPool, may_send: Callable[[Attempt], bool]):
-        """`may_send` is asked at the moment of an attempt's first byte."""
+        """`may_send` is evaluated right before the first byte of an attempt is written."""
         self.loop = loop
         self.pool = pool
         self.may_send = may_send
@@ -70,12 +70,12 @@
         except ConnectionClosedError:
             return CONNECT_FAILED
         if not self.may_send(attempt):
-            # While it was connecting the engine began to drain, or nobody waits any more.
+            # While connecting, the engine began to drain or the request was given up.
             self.pool.give(endpoint.address, connection)
             return NOT_SENT
 
         def abort() -> bool:
-            connection.abort()  # what its engine has not received must not arrive later
+            connection.abort()  # bytes that the engine has not received must not arrive later
             return True
 
         attempt.abort = abort
@@ -88,7 +88,7 @@
         return self.receive(connection, endpoint, reader)
 
     def encode(self, attempt: Attempt, endpoint: Endpoint, outgoing: OutgoingRequest) -> bytes:
-        """Return the bytes of an attempt's request, with the time that is left for it."""
+        """Return the bytes of an attempt's request, with its remaining time as a header."""
         time_left = attempt.timeout - (self.loop.now() - attempt.started_at)
         timeout = ("X-Timeout-Ms", str(max(1, time_left // MS)))
         headers = [("Host", str(endpoint)), *outgoing.headers, timeout]
@@ -97,49 +97,46 @@
     def receive(
         self, connection: Connection, endpoint: Endpoint, reader: ResponseReader
     ) -> AttemptEnd:
-        """Feed a response to the reader and give the connection back, if it may be used again."""
+        """Feed a response to the reader; return the connection to the pool if it is reusable."""
         limit = reader.outgoing.max_response_bytes
-        messages = MessageParser(
-            responses=True, max_body=limit, max_chunk=max(MAX_BODY, min(limit, MAX_CHUNK))
+        parser = MessageParser(
+            responses=True, max_body=limit, max_chunk=max(MAX_BODY, min(limit, MAX_CHUNK_BYTES))
         )
         try:
-            end = self.read(connection, messages, reader)
+            end = self.read_response(connection, parser, reader)
         except ConnectionClosedError:
             end = RESET
         except MalformedMessageError as error:
             reader.log_malformed(error)
             end = RESET
-        if (
-            messages.state is MessageState.END
-            and not messages.buffer
-            and messages.head.keeps_alive()
-        ):
+        if parser.state is MessageState.END and not parser.buffer and parser.head.keeps_alive():
             self.pool.give(endpoint.address, connection)
         else:
             self.pool.drop(connection)
         return end
 
-    def read(
-        self, connection: Connection, messages: MessageParser, reader: ResponseReader
+    def read_response(
+        self, connection: Connection, parser: MessageParser, reader: ResponseReader
     ) -> AttemptEnd:
         """Feed a response to the reader until it ends."""
         while True:
-            partial = not messages.between()
+            partial = not parser.between()
             try:
                 data = connection.recv(reader.idle_timeout(partial))
             except TimeoutExpired:
-                message = "the rest does not come" if partial else "the stream stands still"
+                message = "timeout within a head or chunk" if partial else "idle timeout"
                 raise MalformedMessageError(502, message) from None
-            for part in messages.feed(data) if data else messages.eof():
+            for part in parser.feed(data) if data else parser.eof():
                 if isinstance(part, Head):
                     reader.head(part.status, part.headers)
                 elif isinstance(part, Body):
                     reader.data(part.data)
-                elif data or reader.status != OK:
-                    # A stream that merely stops is not known to be complete.
+                elif data or reader.status != OK_STATUS:
+                    # A successful response that ends by closing the connection is not taken for
+                    # complete: the engine may have died.
                     return reader.end()
             if not data:
-                raise ConnectionClosedError("ended before its answer")
+                raise ConnectionClosedError("connection closed before the end of the response")
 
     def call(
         self,
@@ -148,7 +145,7 @@
         target: str,
         is_wanted: Callable[[], bool] = always,
     ) -> CallResponse | None:
-        """Make a small idempotent call; None without a response."""
+        """Make a small idempotent call; None if there is no response."""
         for _ in range(CALL_ATTEMPTS):
             reused_before = self.pool.reused
             try:
@@ -161,8 +158,8 @@
                 return None
             try:
                 request = encode_request(method, target, [("Host", str(endpoint))])
-                connection.send(request, CALL_WAIT)
-                response = self.read_small(connection)
+                connection.send(request, CALL_TIMEOUT_NS)
+                response = self.read_small_response(connection)
             except (ConnectionClosedError, MalformedMessageError):
                 self.pool.drop(connection)
                 if is_new:
@@ -175,10 +172,10 @@
             return CallResponse(response.head.status, response.body)
         return None
 
-    def reaches(self, endpoint: Endpoint) -> bool | None:
+    def accepts_connection(self, endpoint: Endpoint) -> bool | None:
         """Return whether a new connection is established within the dial timeout.
 
-        None where there was no capacity to try.
+        None if this machine had no capacity to try.
         """
         try:
             connection = self.pool.dial(endpoint.address)
@@ -189,29 +186,29 @@
         self.pool.drop(connection)
         return True
 
-    def read_small(self, connection: Connection) -> SmallResponse:
+    def read_small_response(self, connection: Connection) -> SmallResponse:
         """Read a small response as a whole."""
-        messages = MessageParser(responses=True, max_body=SMALL)
+        parser = MessageParser(responses=True, max_body=MAX_UNFORWARDED_BYTES)
         head = Head()
         body = b""
         while True:
-            data = connection.recv(CALL_WAIT)
+            data = connection.recv(CALL_TIMEOUT_NS)
             if not data:
-                raise ConnectionClosedError("no answer")
-            for part in messages.feed(data):
+                raise ConnectionClosedError("connection closed before the end of the response")
+            for part in parser.feed(data):
                 if isinstance(part, Head):
                     head = part
                 elif isinstance(part, Body):
                     body += part.data
                 elif isinstance(part, End):
-                    reusable = head.keeps_alive() and not messages.buffer
+                    reusable = head.keeps_alive() and not parser.buffer
                     return SmallResponse(head, body, reusable)
 
-    def forget(self, endpoint: Endpoint) -> None:
-        """Do nothing: each connection is checked before it is used."""
+    def endpoint_removed(self, endpoint: Endpoint) -> None:
+        """Do nothing: the pool checks each connection before it is reused."""
 
     def endpoint_updated(self, endpoint: Endpoint) -> None:
-        """Do nothing: this protocol is spoken everywhere."""
+        """Do nothing: every engine supports HTTP/1.1."""
 
     def check(self) -> None:
         """Check the invariants of the pool."""
--- a/claycross/upstream/http2.py
+++ b/claycross/upstream/http2.py
@@ -1,7 +1,7 @@
 """The HTTP/2 client for engines, by prior knowledge: many requests on few connections.
 
-`Http2Client.opened()` is the place for TLS: once ALPN has chosen HTTP/2, what it returns is the
-connection to go on with.
+TLS would be added in `Http2Client.connect()`, which would return the connection once ALPN has
+chosen HTTP/2.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from ..net.loop import MS, Connection, ConnectionClosedError, EventLoop
 from ..requests.manager import Attempt
 from .connection_pool import ConnectionPool
-from .http1 import CALL_WAIT
+from .http1 import CALL_TIMEOUT_NS
 from .http2_connection import Http2Connection
 from .http2_peer import Peer
 from .http2_stream import Headers, Stream, StreamRequest
@@ -29,19 +29,18 @@
     ProtocolNotSupportedError,
     always,
 )
-from .responses import SMALL, ResponseReader
-from .stream_records import ConnectionLimits, Over, StreamOutcome
+from .responses import MAX_UNFORWARDED_BYTES, ResponseReader
+from .stream_records import ConnectionLimits, EndReason, StreamFailed, StreamOutcome
 
-TICK = 20 * MS  # between looks at the accounts, while something waits there
-SLOW_TICK = 200 * MS  # and while nothing does
-# Reasons for which a stream ended that mean that the server has no capacity for it.
-FULL_REASONS = ("no place", "too many wait", "refused")
-NOT_SPOKEN_REASON = "not spoken"
-COUNTED = ("answered", "never", "maybe")  # counts of the accounts among the metrics
+URGENT_TICK_INTERVAL_NS = 20 * MS  # while a short timeout is pending at a peer
+TICK_INTERVAL_NS = 200 * MS
+# Reasons of unprocessed streams that mean that the server has no capacity for the request.
+NO_CAPACITY_REASONS = (EndReason.NO_FREE_STREAM, EndReason.QUEUE_FULL, EndReason.REFUSED)
+ACCOUNT_METRICS = ("answered", "never", "maybe")  # counts of the accounts among the metrics
 
 
 class Http2Client:
-    """The client of this protocol (`client.EngineClient`)."""
+    """The client of HTTP/2 (`client.EngineClient`)."""
 
     def __init__(
         self,
@@ -51,79 +50,84 @@
         log: Callable[[str], None],
         limits: ConnectionLimits,
         window: int,
-        body_wait: int,
+        body_timeout: int,
         background: bool = False,
     ):
-        """`window`: of a stream, in bytes; `body_wait`: for the server to take some of a body."""
+        """`window` is the flow-control window of a stream in bytes.
+
+        `body_timeout` is the time in nanoseconds for which a server's flow control may block a
+        request body. `may_send` is evaluated right before an attempt is written.
+        """
         self.loop = loop
         self.pool = pool
         self.may_send = may_send
         self.log = log
         self.limits = limits
         self.window = window
-        self.body_wait = body_wait
+        self.body_timeout = body_timeout
         self.background = background
         self.peers: dict[Endpoint, Peer] = {}
-        self.former: list[Peer] = []  # no longer on the list, with connections that are not done
-        self.ended_before: Counter[str] = Counter()  # the counts of those that are done
+        self.removed_peers: list[Peer] = []  # not listed any more, with open connections
+        self.past_counts: Counter[str] = Counter()  # of removed peers without connections
         self.dialled = 0
-        self.slow = True
-        self.timer = loop.call_later(SLOW_TICK, self.tick)
+        self.is_tick_urgent = False
+        self.timer = loop.call_later(TICK_INTERVAL_NS, self.tick)
 
-    def opened(self, endpoint: Endpoint) -> Connection:
-        """Return a connection on which HTTP/2 is spoken from its first byte."""
+    def connect(self, endpoint: Endpoint) -> Connection:
+        """Return a connection on which HTTP/2 is spoken from the first byte."""
         return self.pool.dial(endpoint.address)
 
     def peer(self, endpoint: Endpoint) -> Peer:
         """Return the peer of an endpoint.
 
         Raises:
-            ProtocolNotSupportedError: If HTTP/2 is taken not to be spoken there.
+            ProtocolNotSupportedError: If the engine is assumed not to support HTTP/2.
         """
         peer = self.peers.get(endpoint)
         if peer is None:
             peer = Peer(self, endpoint)
             self.peers[endpoint] = peer
-        if not peer.account.speaks(self.loop.now()):
+        if not peer.account.supports_http2(self.loop.now()):
             raise ProtocolNotSupportedError
         return peer
 
     def all_peers(self) -> list[Peer]:
-        """Return the peers on the list, and former ones that are not done."""
-        return [*self.peers.values(), *self.former]
+        """Return the listed peers, and removed ones with open connections."""
+        return [*self.peers.values(), *self.removed_peers]
 
-    def forget(self, endpoint: Endpoint) -> None:
-        """Note that the process there has left the list, or is another one now."""
+    def endpoint_removed(self, endpoint: Endpoint) -> None:
+        """Note that the endpoint list no longer has this process at the endpoint."""
         peer = self.peers.pop(endpoint, None)
         if peer:
-            peer.account.leave_list(self.loop.now())
-            self.former.append(peer)
-            peer.work()
+            peer.account.removed_from_list()
+            self.removed_peers.append(peer)
+            peer.run_actions()
 
     def endpoint_updated(self, endpoint: Endpoint) -> None:
-        """Note that the list named this endpoint again."""
+        """Note that an update of the endpoint list has this endpoint again."""
         peer = self.peers.get(endpoint)
         if peer:
-            peer.account.anew()
+            peer.account.listed_again()
 
     def tick(self) -> None:
-        """Do what is due at the peers."""
+        """Handle the expired timeouts of the peers."""
         now = self.loop.now()
         for peer in self.all_peers():
-            if peer.connections or peer.account.waits:
+            if peer.connections or peer.account.waiting_count:
                 peer.tick(now)
-        for peer in [peer for peer in self.former if not peer.connections]:
-            self.former.remove(peer)
-            self.ended_before += peer.account.counts
-        self.slow = not any(peer.is_urgent() for peer in self.peers.values())
-        self.timer = self.loop.call_later(SLOW_TICK if self.slow else TICK, self.tick)
+        for peer in [peer for peer in self.removed_peers if not peer.connections]:
+            self.removed_peers.remove(peer)
+            self.past_counts += peer.account.counts
+        self.is_tick_urgent = any(peer.is_urgent() for peer in self.peers.values())
+        interval = URGENT_TICK_INTERVAL_NS if self.is_tick_urgent else TICK_INTERVAL_NS
+        self.timer = self.loop.call_later(interval, self.tick)
 
-    def hurry(self) -> None:
-        """Let the next tick come soon."""
-        if self.slow:
+    def expedite_tick(self) -> None:
+        """Schedule the next tick soon."""
+        if not self.is_tick_urgent:
             self.timer.cancel()
-            self.slow = False
-            self.timer = self.loop.call_later(TICK, self.tick)
+            self.is_tick_urgent = True
+            self.timer = self.loop.call_later(URGENT_TICK_INTERVAL_NS, self.tick)
 
     # ------------------------------------------------------------ attempts and calls
 
@@ -141,50 +145,53 @@
         peer = self.peer(endpoint)
         request = StreamRequest(outgoing.method, outgoing.target, headers, outgoing.body, may_send)
         stream = Stream(peer, request)
-        attempt.abort = stream.leave
-        peer.ask(stream, False, self.limits.request_wait)
+        attempt.abort = stream.cancel
+        peer.start(stream, is_call=False, max_wait=self.limits.request_wait)
         try:
-            return self.read(stream, reader)
+            return self.read_response(stream, reader)
         except ConnectionClosedError:
             return RESET
         except MalformedMessageError as error:
             reader.log_malformed(error)
             return RESET
         finally:
-            stream.leave()
+            stream.cancel()
 
-    def read(self, stream: Stream, reader: ResponseReader) -> AttemptEnd:
+    def read_response(self, stream: Stream, reader: ResponseReader) -> AttemptEnd:
         """Feed a response to the reader until it ends."""
         trailers: dict[str, str] = {}
         while True:
-            part = stream.next(reader.idle_timeout(False))
+            part = stream.next_part(reader.idle_timeout(False))
             match part:
                 case None:
-                    raise MalformedMessageError(502, "the stream stands still")
+                    raise MalformedMessageError(502, "idle timeout")
                 case wire.Answered(_, status, headers):
-                    # Not before: the response shows whether the end of the body was sent.
+                    # Not earlier: this task learns from the response, or from the outcome of
+                    # the stream, that the request was sent.
                     reader.request_sent()
                     reader.head(status, headers)
                 case wire.Data(_, data, counted):
                     if data:
-                        # This may wait for a slow client: only this stream's window fills.
+                        # This may wait for a slow client, and fills only this stream's window.
                         reader.data(data)
-                    stream.took(counted)
+                    stream.data_consumed(counted)
                 case wire.Trailers(_, headers):
                     trailers = headers
                 case wire.Ended():
                     return reader.end(trailers)
-                case Over(_, outcome, why):
-                    return self.incomplete(outcome, why, reader)
+                case StreamFailed(_, outcome, reason):
+                    return self.incomplete_end(outcome, reason, reader)
 
-    def incomplete(self, outcome: StreamOutcome, why: str, reader: ResponseReader) -> AttemptEnd:
-        """Return how an attempt ended whose stream ended without a complete response."""
+    def incomplete_end(
+        self, outcome: StreamOutcome, reason: str, reader: ResponseReader
+    ) -> AttemptEnd:
+        """Return the result of an attempt whose stream ended without a complete response."""
         if outcome is not StreamOutcome.NOT_PROCESSED:
             reader.request_sent()
             return RESET
-        if why == NOT_SPOKEN_REASON:
+        if reason == EndReason.NOT_SUPPORTED:
             raise ProtocolNotSupportedError
-        if why in FULL_REASONS:
+        if reason in NO_CAPACITY_REASONS:
             return AttemptEnd(AttemptResult.ENGINE_FULL)
         return CONNECT_FAILED
 
@@ -195,37 +202,37 @@
         target: str,
         is_wanted: Callable[[], bool] = always,
     ) -> CallResponse | None:
-        """Make a small idempotent call; None without a response."""
+        """Make a small idempotent call; None if there is no response."""
         peer = self.peer(endpoint)
         stream = Stream(peer, StreamRequest(method, target, list, b"", is_wanted))
-        peer.ask(stream, True, CALL_WAIT)
+        peer.start(stream, is_call=True, max_wait=CALL_TIMEOUT_NS)
         try:
-            return self.read_small(stream)
+            return self.read_small_response(stream)
         finally:
-            stream.leave()
+            stream.cancel()
 
-    def read_small(self, stream: Stream) -> CallResponse | None:
+    def read_small_response(self, stream: Stream) -> CallResponse | None:
         """Read a small response as a whole."""
-        until = self.loop.now() + 2 * CALL_WAIT  # for its place, and for the response
+        deadline = self.loop.now() + 2 * CALL_TIMEOUT_NS  # one for the stream, one for the response
         status = 0
         body = b""
-        while len(body) <= SMALL:
-            part = stream.next(max(MS, until - self.loop.now()))
+        while len(body) <= MAX_UNFORWARDED_BYTES:
+            part = stream.next_part(max(MS, deadline - self.loop.now()))
             match part:
                 case wire.Answered():
                     status = part.status
                 case wire.Data():
                     body += part.data
-                    stream.took(part.counted)
+                    stream.data_consumed(part.counted)
                 case wire.Ended():
                     return CallResponse(status, body)
-                case Over(_, StreamOutcome.NOT_PROCESSED, why) if why == NOT_SPOKEN_REASON:
+                case StreamFailed(_, StreamOutcome.NOT_PROCESSED, EndReason.NOT_SUPPORTED):
                     raise ProtocolNotSupportedError
-                case Over() | None:
+                case StreamFailed() | None:
                     return None
         return None
 
-    # ------------------------------------------------------------ for operators
+    # ------------------------------------------------------------ checks and metrics
 
     def check(self) -> None:
         """Check the invariants of the accounts, and of the connections against them."""
@@ -236,25 +243,25 @@
 
     def check_connection(self, peer: Peer, connection: Http2Connection) -> None:
         """Check that a connection and the account have the same streams on it."""
-        here = set(connection.streams)
-        accounted = set(connection.record.tickets)
+        actual = set(connection.streams)
+        accounted = set(connection.record.streams)
         invariant(
-            connection.closed or here == accounted,
+            connection.closed or actual == accounted,
             "streams-counted",
-            f"engine {peer.endpoint} wire {sorted(here)[:9]} account {sorted(accounted)[:9]}",
+            f"engine {peer.endpoint} wire {sorted(actual)[:9]} account {sorted(accounted)[:9]}",
         )
 
     def metrics(self) -> dict[str, int]:
-        """Return its counts for the log, by name."""
+        """Return the client's counts for the log, by name."""
         peers = self.all_peers()
         connections = [connection for peer in peers for connection in peer.connections.values()]
         metrics = {
             "h2_links": len(connections),
             "h2_streams": sum(len(connection.streams) for connection in connections),
-            "h2_waiting": sum(peer.account.waits for peer in self.peers.values()),
+            "h2_waiting": sum(peer.account.waiting_count for peer in self.peers.values()),
             "h2_dialled": self.dialled,
         }
-        for name in COUNTED:
-            ended = sum(peer.account.counts[name] for peer in peers)
-            metrics[f"h2_{name}"] = self.ended_before[name] + ended
+        for name in ACCOUNT_METRICS:
+            current = sum(peer.account.counts[name] for peer in peers)
+            metrics[f"h2_{name}"] = self.past_counts[name] + current
         return metrics
--- a/claycross/upstream/http2_connection.py
+++ b/claycross/upstream/http2_connection.py
@@ -6,19 +6,18 @@
 from ..net.http1 import MalformedMessageError
 from ..net.loop import Connection, ConnectionClosedError
 from .http2_stream import PeerContext, Stream
-from .stream_records import ConnectionRecord, Phase
+from .stream_records import ConnectFailure, ConnectionPhase, ConnectionRecord, EndReason
 
-# Bytes that wait for a socket: an engine that makes us respond again and again, and reads nothing,
-# is cut off.
-MAX_UNSENT = 524_288
-MAX_PENDING = 65_536  # bytes that wait for a socket, from which on bodies wait too
-UNLOGGED_REASONS = {"no longer used", "left the list"}  # ordinary ends of connections
+# Output that waits for the socket. Above this, the connection of an engine that requires responses
+# (to PING or SETTINGS) without reading them is closed.
+MAX_UNSENT_BYTES = 524_288
+BODY_BUFFER_BYTES = 65_536  # output that waits for the socket, from which on no body is added
 
 
 class Http2Connection:
     """A connection with a task that reads, and another that writes while the socket is full.
 
-    The account decides where a stream goes; this carries it out.
+    The account decides which streams it carries, and when it is closed.
     """
 
     def __init__(self, peer: PeerContext, record: ConnectionRecord):
@@ -27,10 +26,10 @@
         self.loop = peer.client.loop
         self.session = wire.Session(peer.client.window)
         self.streams: dict[int, Stream] = {}  # by id
-        self.bodies: dict[int, Stream] = {}  # those with a part of their body left, in turn
+        self.sending: dict[int, Stream] = {}  # by id, those with an unsent part of their body
         self.socket: Connection | None = None
         self.closed = False
-        self.writing = False
+        self.write_blocked = False  # a task waits until the socket takes bytes again
 
     # ------------------------------------------------------------ from dialling to the end
 
@@ -38,69 +37,76 @@
         """Dial, and read until the end."""
         client = self.peer.client
         try:
-            socket = client.opened(self.peer.endpoint)
+            socket = client.connect(self.peer.endpoint)
         except ConnectionClosedError:
             self.closed = True
-            self.peer.account.unopened(self.record, "refused", self.loop.now())
-            self.peer.work()
+            self.peer.account.connect_failed(self.record, ConnectFailure.REFUSED, self.loop.now())
+            self.peer.run_actions()
             return
-        if self.closed:  # nobody wants it any more
+        if self.closed:  # by the account, while it was dialled
             client.pool.drop(socket)
             return
         self.socket = socket
-        why = "broken"
-        how = "closed"
+        reason: str = EndReason.BROKEN
+        failure = ConnectFailure.CLOSED
         try:
             self.flush()
             self.read(socket)
         except MalformedMessageError as error:
-            how = "junk" if isinstance(error, wire.OlderSpoken) else "closed"
-            why = f"junk: {error}"
+            if isinstance(error, wire.OlderSpoken):
+                failure = ConnectFailure.OTHER_PROTOCOL
+            reason = f"junk: {error}"
             self.send_last()
         except ConnectionClosedError:
             pass
-        self.end(why, how)
+        self.end(reason, failure)
 
     def read(self, socket: Connection) -> None:
-        """Read and handle what arrives, until the server ends its sending."""
+        """Read and handle bytes until the server closes its side."""
         while True:
             data = socket.recv()
             if not data:
                 return
             events = self.session.feed(data)
-            self.peer.account.heard(self.record, self.loop.now(), self.session.noisy())
+            overhead_frames = self.session.noisy()
+            self.peer.account.bytes_received(self.record, self.loop.now(), overhead_frames)
             for event in events:
                 self.handle(event)
-            self.push()
+            self.write_bodies()
             self.flush()
-            if len(self.session.out) > MAX_UNSENT:
-                raise MalformedMessageError(502, "it reads nothing of what it asks for")
-            self.peer.work()
+            if len(self.session.out) > MAX_UNSENT_BYTES:
+                raise MalformedMessageError(
+                    502, "the server does not read the responses it asks for"
+                )
+            self.peer.run_actions()
+
+    def end(self, reason: str, failure: ConnectFailure) -> None:
+        """Report to the account that the connection has ended.
 
-    def end(self, why: str, how: str) -> None:
-        """Report to the account that the connection is closed."""
+        `failure` is reported if the server's SETTINGS have not arrived, `reason` otherwise.
+        """
         if not self.closed:
             self.closed = True
             now = self.loop.now()
             account = self.peer.account
-            if self.record.phase is Phase.OPENING:
-                account.unopened(self.record, how, now)
+            if self.record.phase is ConnectionPhase.OPENING:
+                account.connect_failed(self.record, failure, now)
             else:
-                if self.streams or why != "broken":
-                    self.log_closed(why)
-                account.broken(self.record, now, why)
+                if self.streams or reason != EndReason.BROKEN:
+                    self.log_closed(reason)
+                account.connection_lost(self.record, now, reason)
         if self.socket:
             self.peer.client.pool.drop(self.socket)
             self.socket = None
-        self.peer.work()
+        self.peer.run_actions()
 
-    def close(self, why: str, error: bool) -> None:
-        """Close the connection on the account's order."""
+    def close(self, reason: str, error: bool) -> None:
+        """Close the connection at the account's request."""
         if self.closed:
             return
         self.closed = True
-        if why not in UNLOGGED_REASONS:
-            self.log_closed(why)
+        if reason != EndReason.IDLE:
+            self.log_closed(reason)
         if self.socket is None:
             return  # it is being dialled: run() ends it
         if not error:
@@ -108,120 +114,121 @@
         self.send_last()
         self.socket.close()  # this wakes run(), which gives it back to the pool
 
-    def log_closed(self, why: str) -> None:
+    def log_closed(self, reason: str) -> None:
         """Log why the connection was closed."""
-        self.log(f"http2-closed engine={self.peer.endpoint} streams={len(self.streams)} {why}")
+        self.log(f"http2-closed engine={self.peer.endpoint} streams={len(self.streams)} {reason}")
 
     def log(self, line: str) -> None:
-        """Write a line of the log."""
+        """Write a line to the log."""
         self.peer.client.log(line)
 
     def send_last(self) -> None:
-        """Send what the session has to say before the end, if the socket takes it."""
+        """Send the session's output before the end, as far as the socket takes it at once."""
         try:
-            if self.socket and not self.writing:
+            if self.socket and not self.write_blocked:
                 self.socket.send_some(self.session.pending())
         except ConnectionClosedError:
             pass
 
-    # ------------------------------------------------------------ what arrives
+    # ------------------------------------------------------------ received events
 
     def handle(self, event: wire.Event) -> None:
-        """Report an event to the account, and a part of a response to its stream."""
+        """Report an event to the account, or add a part of a response to its stream."""
         account = self.peer.account
         now = self.loop.now()
         match event:
             case wire.Ready(limit):
-                account.ready(self.record, limit, now)
-                self.log(f"http2-ready engine={self.peer.endpoint} streams={self.record.limit}")
+                account.settings_received(self.record, limit, now)
+                allowed = self.record.stream_limit
+                self.log(f"http2-ready engine={self.peer.endpoint} streams={allowed}")
             case wire.Limit(limit):
-                account.limited(self.record, limit)
+                account.limit_changed(self.record, limit)
                 self.log(
-                    f"http2-limit engine={self.peer.endpoint} streams={self.record.limit} "
-                    f"open={self.record.open}"
+                    f"http2-limit engine={self.peer.endpoint} streams={self.record.stream_limit} "
+                    f"open={self.record.open_streams}"
                 )
-            case wire.GoAway(last_id, code, text):
+            case wire.GoAway(last_stream_id, code, text):
                 self.log(
-                    f"http2-goaway engine={self.peer.endpoint} last={last_id} code={code} "
+                    f"http2-goaway engine={self.peer.endpoint} last={last_stream_id} code={code} "
                     f"streams={len(self.streams)} {text}".rstrip()
                 )
-                account.goaway(self.record, last_id, code, now)
-            case wire.Reset(number, code):
-                account.reset(self.record, number, code == wire.REFUSED, now)
+                account.goaway_received(self.record, last_stream_id, code, now)
+            case wire.Reset(stream_id, code):
+                account.stream_reset(self.record, stream_id, code == wire.REFUSED, now)
             case wire.Window():
-                pass  # push() follows
+                pass  # write_bodies() follows
             case _:
-                self.handle_part(event, now)
+                self.handle_response_part(event, now)
 
-    def handle_part(
+    def handle_response_part(
         self, event: wire.Answered | wire.Data | wire.Trailers | wire.Ended, now: int
     ) -> None:
-        """Hand a part of a response to its stream; one that nobody waits for is discarded."""
+        """Add a part of a response to its stream, or discard it if the stream was removed."""
         stream = self.streams.get(event.stream)
         if stream:
-            self.peer.account.answering(self.record, event.stream)
+            self.peer.account.response_started(self.record, event.stream)
             if isinstance(event, wire.Ended):
-                self.peer.account.answered(stream.ticket, now)
-                self.drop(stream, complete=not stream.body)
-            stream.add(event)
+                self.peer.account.response_completed(stream.record, now)
+                self.remove_stream(stream, complete=not stream.unsent_body)
+            stream.add_part(event)
         elif isinstance(event, wire.Data):
             self.session.took(event.stream, event.counted)
 
-    def drop(self, stream: Stream, complete: bool = False) -> None:
+    def remove_stream(self, stream: Stream, complete: bool = False) -> None:
         """Remove a stream; reset it, unless it is complete."""
-        self.streams.pop(stream.number, None)
-        self.bodies.pop(stream.number, None)
+        self.streams.pop(stream.stream_id, None)
+        self.sending.pop(stream.stream_id, None)
         if not complete and not self.closed:
-            self.session.reset(stream.number)
+            self.session.reset(stream.stream_id)
             self.flush()
 
-    # ------------------------------------------------------------ what is written
+    # ------------------------------------------------------------ writing
 
-    def begin(self, stream: Stream) -> None:
+    def start_stream(self, stream: Stream) -> None:
         """Write the headers, and as much of the body as the windows allow."""
         stream.connection = self
         request = stream.request
         authority = str(self.peer.endpoint)
-        number = self.session.open(
-            request.method, request.target, authority, request.headers(), stream.size
+        stream_id = self.session.open(
+            request.method, request.target, authority, request.headers(), stream.body_size
         )
-        self.peer.account.begun(stream.ticket, number)
-        self.streams[number] = stream
-        if stream.size:
-            self.bodies[number] = stream
+        self.peer.account.headers_queued(stream.record, stream_id)
+        self.streams[stream_id] = stream
+        if stream.body_size:
+            self.sending[stream_id] = stream
         else:
-            self.peer.account.committed(stream.ticket)
-        self.push()
+            self.peer.account.end_queued(stream.record)
+        self.write_bodies()
         self.flush()
 
-    def push(self) -> None:
-        """Write of the bodies what the server's windows allow, a piece of each in turn."""
-        moved = True
-        while moved and self.bodies and len(self.session.out) < MAX_PENDING:
-            moved = False
-            for stream in list(self.bodies.values()):
-                moved = self.push_piece(stream) or moved
+    def write_bodies(self) -> None:
+        """Write as much of the bodies as the server's windows allow, a piece of each in turn."""
+        progress = True
+        while progress and self.sending and len(self.session.out) < BODY_BUFFER_BYTES:
+            progress = False
+            for stream in list(self.sending.values()):
+                progress = self.write_body_piece(stream) or progress
 
-    def push_piece(self, stream: Stream) -> bool:
+    def write_body_piece(self, stream: Stream) -> bool:
         """Write a piece of a body; return whether the windows allowed any."""
-        number = stream.number
-        size = min(self.session.room(number), wire.MAX_FRAME, len(stream.body))
+        stream_id = stream.stream_id
+        size = min(self.session.room(stream_id), wire.MAX_FRAME, len(stream.unsent_body))
         if not size:
-            stream.stalled = stream.stalled or self.loop.now()
-            self.peer.client.hurry()
+            stream.stalled_since = stream.stalled_since or self.loop.now()
+            self.peer.client.expedite_tick()
             return False
-        stream.stalled = 0
-        is_last = size == len(stream.body)
-        self.session.body(number, stream.body[:size], is_last)
-        stream.body = stream.body[size:]
+        stream.stalled_since = 0
+        is_last = size == len(stream.unsent_body)
+        self.session.body(stream_id, stream.unsent_body[:size], is_last)
+        stream.unsent_body = stream.unsent_body[size:]
         if is_last:
-            del self.bodies[number]
-            self.peer.account.committed(stream.ticket)
+            del self.sending[stream_id]
+            self.peer.account.end_queued(stream.record)
         return True
 
     def flush(self) -> None:
-        """Write what the session has to send, as far as the socket takes it."""
-        if self.writing or self.closed or self.socket is None:
+        """Write the session's output, as far as the socket takes it."""
+        if self.write_blocked or self.closed or self.socket is None:
             return
         try:
             while True:
@@ -230,30 +237,30 @@
                     return
                 count = self.socket.send_some(data)
                 if not count:
-                    self.writing = True
+                    self.write_blocked = True
                     self.peer.account.set_blocked(self.record, True)
-                    self.loop.spawn(self.write, self.socket)
+                    self.loop.spawn(self.resume_writing, self.socket)
                     return
-                for number in self.session.wrote(count):
-                    self.peer.account.sent(self.record, number)
+                for stream_id in self.session.wrote(count):
+                    self.peer.account.end_sent(self.record, stream_id)
                 if not self.session.out:
-                    self.push()
+                    self.write_bodies()
         except ConnectionClosedError:
-            self.socket.close()  # run() sees it
+            self.socket.close()  # run() ends then
 
-    def write(self, socket: Connection) -> None:
+    def resume_writing(self, socket: Connection) -> None:
         """Wait until the socket takes bytes again, and go on writing.
 
-        A server that never reads is detected by its silence (PING).
+        This wait has no timeout: a server that never reads is detected by PING.
         """
-        if socket.closed:  # meanwhile, before this task had its first turn
+        if socket.closed:  # before this task ran for the first time
             return
         try:
             socket.wait(False)
         except ConnectionClosedError:
             return
-        self.writing = False
+        self.write_blocked = False
         self.flush()
-        if not self.writing:
+        if not self.write_blocked:
             self.peer.account.set_blocked(self.record, False)
-            self.peer.work()
+            self.peer.run_actions()
--- a/claycross/upstream/http2_peer.py
+++ b/claycross/upstream/http2_peer.py
@@ -1,4 +1,4 @@
-"""One engine to which HTTP/2 is spoken: its account and its connections."""
+"""One engine that is spoken to by HTTP/2: its stream account and its connections."""
 
 from __future__ import annotations
 
@@ -9,134 +9,139 @@
 from .http2_stream import ClientContext, Stream
 from .stream_accounting import StreamAccount
 from .stream_records import (
-    Close,
+    Action,
+    CloseConnection,
     ConnectionLimits,
+    ConnectionPhase,
     Dial,
-    Grant,
-    Order,
-    Over,
-    Phase,
-    Ping,
+    EndReason,
+    SendPing,
+    StartStream,
+    StreamFailed,
     StreamOutcome,
-    Ticket,
+    StreamRecord,
 )
 
 
 class PeerClient(ClientContext, Protocol):
-    """What a peer needs of the client, beside what its connections need."""
+    """The interface of the client to its peers."""
 
     limits: ConnectionLimits
-    body_wait: int
+    body_timeout: int
     dialled: int
 
 
-def stream_of(ticket: Ticket) -> Stream:
-    """Return the stream that a ticket was asked for by."""
-    return cast(Stream, ticket.owner)
+def owner_of(record: StreamRecord) -> Stream:
+    """Return the stream that a record belongs to."""
+    return cast(Stream, record.owner)
 
 
 class Peer:
-    """Carries out the orders of one engine's account."""
+    """Executes the actions of one engine's account."""
 
     def __init__(self, client: PeerClient, endpoint: Endpoint):
         self.client = client
         self.endpoint = endpoint
         self.account = StreamAccount(client.limits)
         self.connections: dict[int, Http2Connection] = {}  # by the account's numbers
-        self.working = False
-        self.unspoken = 0  # of the account, as last logged
-
-    def ask(self, stream: Stream, call: bool, wait: int) -> None:
-        """Ask for a place for a stream."""
-        stream.ticket = self.account.ask(call, self.client.loop.now(), stream, wait)
-        self.work()
-
-    def work(self) -> None:
-        """Carry out the account's orders, one at a time, until there is none."""
-        if self.working:
-            return  # the loop below goes on with what has just been added
-        self.working = True
+        self.is_running_actions = False
+        self.logged_unsupported_until = 0  # value of the account that was logged last
+
+    def start(self, stream: Stream, is_call: bool, max_wait: int) -> None:
+        """Start a stream as soon as a connection has room for it."""
+        now = self.client.loop.now()
+        stream.record = self.account.request_stream(is_call, now, stream, max_wait)
+        self.run_actions()
+
+    def run_actions(self) -> None:
+        """Execute the account's actions, one at a time, until there is none."""
+        if self.is_running_actions:
+            return  # the loop below executes the actions that have just been added
+        self.is_running_actions = True
         try:
             while True:
-                order = self.account.order(self.client.loop.now())
-                if order is None:
+                action = self.account.next_action(self.client.loop.now())
+                if action is None:
                     break
-                self.carry_out(order)
+                self.execute(action)
         finally:
-            self.working = False
+            self.is_running_actions = False
         for number, connection in list(self.connections.items()):
             if connection.closed and not connection.socket:
                 del self.connections[number]
         if self.is_urgent():
-            self.client.hurry()
-        self.log_unspoken()
+            self.client.expedite_tick()
+        self.log_unsupported()
 
-    def log_unspoken(self) -> None:
-        """Log once that HTTP/2 is not spoken there."""
-        if self.unspoken == self.account.unspoken:
+    def log_unsupported(self) -> None:
+        """Log that the engine does not support HTTP/2, each time that this is found out."""
+        if self.logged_unsupported_until == self.account.unsupported_until:
             return
-        self.unspoken = self.account.unspoken
-        if self.unspoken:
-            self.client.log(f"http2-unsupported engine={self.endpoint} proof={self.account.proof}")
-
-    def carry_out(self, order: Order) -> None:
-        """Carry out one order of the account."""
-        match order:
-            case Grant(ticket):
-                self.grant(ticket)
-            case Over(ticket):
-                stream = stream_of(ticket)
+        self.logged_unsupported_until = self.account.unsupported_until
+        if self.logged_unsupported_until:
+            cause = self.account.unsupported_cause
+            self.client.log(f"http2-unsupported engine={self.endpoint} proof={cause}")
+
+    def execute(self, action: Action) -> None:
+        """Execute one action of the account."""
+        match action:
+            case StartStream(record):
+                self.start_assigned(record)
+            case StreamFailed(record):
+                stream = owner_of(record)
                 if stream.connection:
-                    stream.connection.drop(stream)
-                stream.add(order)
-            case Dial(record):
-                connection = Http2Connection(self, record)
-                self.connections[record.number] = connection
+                    stream.connection.remove_stream(stream)
+                stream.add_part(action)
+            case Dial(connection_record):
+                connection = Http2Connection(self, connection_record)
+                self.connections[connection_record.number] = connection
                 self.client.dialled += 1
                 self.client.loop.spawn(connection.run, background=self.client.background)
-            case Ping(record):
-                connection = self.connections[record.number]
+            case SendPing(connection_record):
+                connection = self.connections[connection_record.number]
                 connection.session.ping()
                 connection.flush()
-            case Close(record, why, error):
-                closing = self.connections.get(record.number)
+            case CloseConnection(connection_record, reason, error):
+                closing = self.connections.get(connection_record.number)
                 if closing:
-                    closing.close(why, error)
+                    closing.close(reason, error)
 
-    def grant(self, ticket: Ticket) -> None:
-        """Begin the stream of a ticket that has a place, if it is still to be sent."""
-        stream = stream_of(ticket)
-        if ticket.connection and stream.request.may_send():
-            self.connections[ticket.connection.number].begin(stream)
+    def start_assigned(self, record: StreamRecord) -> None:
+        """Start a stream that is assigned to a connection, if it may still be sent."""
+        stream = owner_of(record)
+        if record.connection and stream.request.may_send():
+            self.connections[record.connection.number].start_stream(stream)
         else:
-            self.withdraw(ticket, self.client.loop.now())
+            self.withdraw(record, self.client.loop.now())
 
-    def withdraw(self, ticket: Ticket, now: int) -> None:
-        """End a ticket whose engine drains, or for which nobody waits any more."""
-        self.account.withdraw(ticket, now)
-        stream_of(ticket).add(Over(ticket, StreamOutcome.NOT_PROCESSED, "drained"))
+    def withdraw(self, record: StreamRecord, now: int) -> None:
+        """End a stream whose engine drains, or whose request was given up."""
+        self.account.withdraw(record, now)
+        failure = StreamFailed(record, StreamOutcome.NOT_PROCESSED, EndReason.DRAINED)
+        owner_of(record).add_part(failure)
 
     def is_urgent(self) -> bool:
-        """Return whether something waits here that has little time."""
-        return bool(self.account.waits) or any(
-            connection.bodies or connection.record.phase is Phase.OPENING
+        """Return whether a short timeout is pending: of a wait, an opening or a request body."""
+        return bool(self.account.waiting_count) or any(
+            connection.sending or connection.record.phase is ConnectionPhase.OPENING
             for connection in self.connections.values()
         )
 
     def tick(self, now: int) -> None:
-        """Do what is due at this time."""
-        for ticket in [*self.account.requests, *self.account.calls]:
-            if not stream_of(ticket).request.may_send():
-                self.withdraw(ticket, now)
+        """Handle all timeouts that have expired."""
+        for record in [*self.account.waiting_requests, *self.account.waiting_calls]:
+            if not owner_of(record).request.may_send():
+                self.withdraw(record, now)
         for connection in list(self.connections.values()):
-            self.end_stalled(connection, now)
+            self.cancel_stalled(connection, now)
         self.account.tick(now)
-        self.work()
+        self.run_actions()
 
-    def end_stalled(self, connection: Http2Connection, now: int) -> None:
-        """End the streams of whose body the server has taken nothing for too long."""
-        stalled = [stream for stream in connection.bodies.values() if stream.stalled]
+    def cancel_stalled(self, connection: Http2Connection, now: int) -> None:
+        """Cancel the streams whose body the server's flow control has blocked for too long."""
+        stalled = [stream for stream in connection.sending.values() if stream.stalled_since]
         for stream in stalled:
-            if now - stream.stalled >= self.client.body_wait:
-                self.client.log(f"http2-stalled engine={self.endpoint} left={len(stream.body)}")
-                stream.leave()
+            if now - stream.stalled_since >= self.client.body_timeout:
+                left = len(stream.unsent_body)
+                self.client.log(f"http2-stalled engine={self.endpoint} left={left}")
+                stream.cancel()
--- a/claycross/upstream/http2_stream.py
+++ b/claycross/upstream/http2_stream.py
@@ -11,18 +11,26 @@
 from ..net.address import Endpoint
 from ..net.loop import Connection, EventLoop, Signal
 from .connection_pool import ConnectionPool
-from .stream_accounting import ON_A_STREAM, StreamAccount
-from .stream_records import Over, StreamOutcome, StreamStage, Ticket
+from .stream_accounting import StreamAccount
+from .stream_records import (
+    STARTED_STAGES,
+    EndReason,
+    StreamFailed,
+    StreamOutcome,
+    StreamRecord,
+    StreamStage,
+)
 
 Headers = list[tuple[str, str]]
-Part = wire.Event | Over  # of a response; Over: the stream ended without a complete one
+# A part of a response; StreamFailed: the stream ended without a complete one.
+ResponsePart = wire.Event | StreamFailed
 
-# Bytes of a response that wait for their task, from which on the next ones are kept apart.
-MERGE_LIMIT = 4096
+# A waiting part of a response body is not extended by the next data from this size on.
+MERGE_LIMIT_BYTES = 4096
 
 
 class ClientContext(Protocol):
-    """What the streams and connections need of the client."""
+    """The interface of the client to its streams and connections."""
 
     loop: EventLoop
     pool: ConnectionPool
@@ -31,46 +39,46 @@
 
     @property
     def log(self) -> Callable[[str], None]:
-        """Writes a line of the log."""
+        """The function that writes a line to the log."""
         ...
 
-    def opened(self, endpoint: Endpoint) -> Connection:
-        """Return a connection on which HTTP/2 is spoken from its first byte."""
+    def connect(self, endpoint: Endpoint) -> Connection:
+        """Return a connection on which HTTP/2 is spoken from the first byte."""
         ...
 
-    def hurry(self) -> None:
-        """Let the next tick come soon."""
+    def expedite_tick(self) -> None:
+        """Schedule the next tick soon."""
         ...
 
 
 class PeerContext(Protocol):
-    """What the streams and connections need of the engine that they belong to."""
+    """The interface of an engine's peer to its streams and connections."""
 
     endpoint: Endpoint
     account: StreamAccount
 
     @property
     def client(self) -> ClientContext:
-        """The client."""
+        """The client that the peer belongs to."""
         ...
 
-    def work(self) -> None:
-        """Carry out the account's orders."""
+    def run_actions(self) -> None:
+        """Execute the account's actions."""
         ...
 
 
 class StreamConnection(Protocol):
-    """What a stream needs of its connection."""
+    """The interface of a connection to its streams."""
 
     closed: bool
     session: wire.Session
 
     def flush(self) -> None:
-        """Write what the session has to send."""
+        """Write the session's output."""
         ...
 
-    def drop(self, stream: Stream, complete: bool = False) -> None:
-        """Remove a stream."""
+    def remove_stream(self, stream: Stream, complete: bool = False) -> None:
+        """Remove a stream; reset it, unless it is complete."""
         ...
 
 
@@ -80,41 +88,41 @@
 
     method: str
     target: str
-    headers: Callable[[], Headers]  # asked when the request is sent
+    headers: Callable[[], Headers]  # evaluated when the request is sent
     body: bytes
-    may_send: Callable[[], bool]  # asked when the request could be sent
+    may_send: Callable[[], bool]  # evaluated right before the request is sent, and while it waits
 
 
 class Stream:
-    """A request or call: its ticket, the rest of its body, and the parts of its response."""
+    """A request or call: its record, the rest of its body, and the parts of its response."""
 
     def __init__(self, peer: PeerContext, request: StreamRequest):
         self.peer = peer
         self.request = request
-        self.size = len(request.body)
-        self.body = memoryview(request.body)  # what is not written yet
+        self.body_size = len(request.body)
+        self.unsent_body = memoryview(request.body)
         self.connection: StreamConnection | None = None
         self.signal = Signal(peer.client.loop)
-        self.parts: deque[Part] = deque()
-        self.stalled = 0  # since when the server takes nothing of the body
-        self.ticket: Ticket
+        self.parts: deque[ResponsePart] = deque()
+        self.stalled_since = 0  # when flow control first blocked the body; 0: not blocked
+        self.record: StreamRecord
 
     @property
-    def number(self) -> int:
+    def stream_id(self) -> int:
         """The stream's id on its connection."""
-        return self.ticket.stream
+        return self.record.stream_id
 
-    def add(self, part: Part) -> None:
+    def add_part(self, part: ResponsePart) -> None:
         """Add a part of the response for the task that waits.
 
-        Small parts are merged: a window that is filled a byte at a time would take an object for
-        each.
+        Small pieces of data are merged: otherwise a window that is filled a byte at a time would
+        take an object for each.
         """
         last = self.parts[-1] if self.parts else None
         if (
             isinstance(part, wire.Data)
             and isinstance(last, wire.Data)
-            and len(last.data) < MERGE_LIMIT
+            and len(last.data) < MERGE_LIMIT_BYTES
         ):
             self.parts[-1] = wire.Data(
                 part.stream, last.data + part.data, last.counted + part.counted
@@ -123,29 +131,32 @@
             self.parts.append(part)
         self.signal.set()
 
-    def next(self, span: int) -> Part | None:
-        """Wait for the next part; None if there is none within `span` (0: for ever)."""
+    def next_part(self, timeout: int) -> ResponsePart | None:
+        """Wait for the next part.
+
+        Returns None if there is none within `timeout` nanoseconds (0: no timeout).
+        """
         while not self.parts:
-            if not self.signal.wait(span):
+            if not self.signal.wait(timeout):
                 return None
         return self.parts.popleft()
 
-    def took(self, counted: int) -> None:
-        """Return bytes of the window to the server, as they have been consumed."""
+    def data_consumed(self, counted: int) -> None:
+        """Give `counted` bytes of the flow-control window back to the server."""
         if self.connection and not self.connection.closed:
-            self.connection.session.took(self.number, counted)
+            self.connection.session.took(self.stream_id, counted)
             self.connection.flush()
 
-    def leave(self) -> bool:
-        """End it wherever it stands, by RST_STREAM; return whether it may have run."""
-        ticket = self.ticket
-        if ticket.stage is StreamStage.OVER:
-            return ticket.outcome is not StreamOutcome.NOT_PROCESSED
-        has_begun = ticket.stage in ON_A_STREAM
-        outcome = self.peer.account.withdraw(ticket, self.peer.client.loop.now())
-        self.body = memoryview(b"")
-        if has_begun and self.connection:
-            self.connection.drop(self)
-        self.add(Over(ticket, outcome, "left"))
-        self.peer.work()
+    def cancel(self) -> bool:
+        """End the stream, by RST_STREAM if it was started; return whether it may have run."""
+        record = self.record
+        if record.stage is StreamStage.FINISHED:
+            return record.outcome is not StreamOutcome.NOT_PROCESSED
+        is_started = record.stage in STARTED_STAGES
+        outcome = self.peer.account.withdraw(record, self.peer.client.loop.now())
+        self.unsent_body = memoryview(b"")
+        if is_started and self.connection:
+            self.connection.remove_stream(self)
+        self.add_part(StreamFailed(record, outcome, EndReason.CANCELLED))
+        self.peer.run_actions()
         return outcome is not StreamOutcome.NOT_PROCESSED
--- a/claycross/upstream/interface.py
+++ b/claycross/upstream/interface.py
@@ -1,4 +1,4 @@
-"""What the calls to engines and the clients of each protocol have in common."""
+"""Types that the calls to engines share with the client of each protocol."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from ..interface import AttemptResult, LoadReport
 
-UNLIMITED = 1 << 62  # bytes
-# Headers that are not forwarded: those of one hop (RFC 9110, 7.6.1), and those that each request to
-# an engine has anew.
+UNLIMITED_BYTES = 1 << 62
+# Request headers that are not forwarded: the hop-by-hop headers (RFC 9110, 7.6.1), and those that
+# the clients here write anew for each request to an engine.
 UNFORWARDED_HEADERS = {
     "connection",
     "keep-alive",
@@ -27,53 +27,53 @@
 
 
 def any_body_is_complete(_: bytes) -> bool:
-    """Take every body for complete, as the length of the message says so."""
+    """Accept every body as complete: the framing of the message ensures it."""
     return True
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """A request as its client sent it."""
+    """A client's request as it is forwarded to engines."""
 
     method: str
     target: str
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes = b""
-    streams: bool = True  # whether its response is a stream of events
-    max_response_bytes: int = UNLIMITED
-    background: bool = False  # whether its tasks run in the background
-    # Whether a response that is not a stream is complete.
+    streams: bool = True  # whether its response is an event stream
+    max_response_bytes: int = UNLIMITED_BYTES
+    background: bool = False  # whether its tasks run at background priority
+    # Whether the body of a response that is not an event stream is complete.
     is_complete: Callable[[bytes], bool] = any_body_is_complete
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended."""
+    """The result of an attempt."""
 
     result: AttemptResult
     cached_tokens: int = 0  # tokens of the prompt that the engine found in its cache
     load_report: LoadReport | None = None
 
 
-# Nothing of the request ran there.
+# The engine ran nothing of the request.
 CONNECT_FAILED = AttemptEnd(AttemptResult.CONNECT_FAILED)
-# Nor did anything leave this machine, which had no socket for it or held it back: this is no fault
-# of the engine.
+# Nothing left this machine, which had no socket for the request or withheld it. The engine is not
+# to blame.
 NOT_SENT = AttemptEnd(AttemptResult.LOCAL_ERROR)
-RESET = AttemptEnd(AttemptResult.RESET)  # it may have run
+RESET = AttemptEnd(AttemptResult.RESET)  # the engine may have run the request
 ERROR = AttemptEnd(AttemptResult.ERROR)
 
 
 class CallResponse(NamedTuple):
-    """The response to a call that carries no request."""
+    """The response to a call that carries no client's request."""
 
     status: int
     body: bytes
 
 
 class ProtocolNotSupportedError(Exception):
-    """The engine does not speak this protocol; nothing of the request was sent."""
+    """The engine does not support the protocol; nothing of the request was sent."""
 
 
 def always() -> bool:
-    """Let a call be made in any case."""
+    """Return True: the default condition of a call that is made in any case."""
     return True
--- a/claycross/upstream/stream_accounting.py
+++ b/claycross/upstream/stream_accounting.py
@@ -1,13 +1,13 @@
-"""The account of the streams on one server's connections: what ran, and where the next one goes.
+"""The account of the streams on one server's connections.
 
 The account has every connection to the server, every stream on them and every request that waits
-for a place. It decides which connection takes the next request, when another one is opened and
-when one is retired, and what is known of a request when its stream ends: it never calls one "not
-processed" that may have run.
+for a stream. It decides which connection takes the next request, when another one is opened and
+when one is retired. When a stream ends, it decides what is known of the request: it never calls one
+"not processed" that may have run.
 
-A driver reports what happens (`ask`, `ready`, `limited`, `goaway`, `broken`, ...) with the time,
-and fetches orders with `order(now)` until there is none. The module is pure: no I/O, and no clock.
-Times are nanoseconds of any clock that is not set back.
+A driver reports what happens, with the time, and fetches actions with `next_action(now)` until
+there is none. The module is pure: no I/O, and no clock. Times are nanoseconds of any monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -16,477 +16,476 @@
 
 from ..invariant import invariant
 from .stream_records import (
-    LAST_ID,
     MS,
-    NO_LAST,
+    RETIREMENT_STREAM_ID,
     SECOND,
-    Close,
+    Action,
+    CloseConnection,
+    ConnectFailure,
     ConnectionLimits,
+    ConnectionPhase,
     ConnectionRecord,
     Dial,
-    Grant,
-    Order,
-    Over,
-    Phase,
-    Ping,
+    EndReason,
+    SendPing,
+    StartStream,
+    StreamFailed,
     StreamOutcome,
+    StreamRecord,
     StreamStage,
-    Ticket,
 )
 
 __all__ = ["MS", "SECOND", "ConnectionLimits", "StreamAccount"]
 
-FORGIVEN_FRAMES = 8  # frames that carry nothing, forgiven for each stream begun
-NOT_SPOKEN = -1  # as StreamAccount.unspoken: HTTP/2 is not spoken there, until the list changes
-ON_A_STREAM = (StreamStage.BEGUN, StreamStage.COMMITTED, StreamStage.SENT)
+# Frames without response content that are allowed for each stream, beside the allowance by time.
+OVERHEAD_FRAMES_PER_STREAM = 8
+UNTIL_LISTED_AGAIN = -1  # as StreamAccount.unsupported_until
 
 
 class StreamAccount:
-    """The account of one server, as long as the list names the same process there."""
+    """The account of one server, for as long as the endpoint list has the same process there."""
 
     def __init__(self, limits: ConnectionLimits):
         self.limits = limits
-        self.links: list[ConnectionRecord] = []  # the connections, oldest first
-        self.calls: deque[Ticket] = deque()  # that wait for a place
-        self.requests: deque[Ticket] = deque()  # that wait for a place
-        self.owed: deque[Order] = deque()  # orders that the driver has not fetched
-        # Until then HTTP/2 is taken not to be spoken there; or NOT_SPOKEN.
-        self.unspoken = 0
-        self.proof = ""  # of that: "junk", "closed" or "silent"
-        self.proven = False  # HTTP/2 was spoken there once
-        self.not_before = 0  # no connection is opened until then
-        self.pause = limits.initial_backoff  # after the next connection that serves nothing
-        self.last = 0  # number of the newest connection
-        self.leaving = False  # the server has left the list
+        self.connections: list[ConnectionRecord] = []  # oldest first
+        self.waiting_calls: deque[StreamRecord] = deque()
+        self.waiting_requests: deque[StreamRecord] = deque()
+        self.pending_actions: deque[Action] = deque()  # the driver has not fetched them
+        # HTTP/2 is assumed to be unsupported until this time, or UNTIL_LISTED_AGAIN.
+        self.unsupported_until = 0
+        self.unsupported_cause: ConnectFailure | None = None  # why it is assumed so
+        self.http2_confirmed = False  # the server has spoken HTTP/2 before
+        self.dial_not_before = 0  # no connection is opened before this time
+        self.backoff = limits.initial_backoff  # after the next connection that serves no request
+        self.last_connection_number = 0
+        self.is_listed = True  # in the endpoint list
         self.counts: Counter[str] = Counter()
 
     # ------------------------------------------------------------ requests
 
-    def speaks(self, now: int) -> bool:
-        """Return whether HTTP/2 is taken to be spoken there."""
-        return self.unspoken != NOT_SPOKEN and now >= self.unspoken
+    def supports_http2(self, now: int) -> bool:
+        """Return whether the server is assumed to support HTTP/2."""
+        return self.unsupported_until != UNTIL_LISTED_AGAIN and now >= self.unsupported_until
 
-    def ask(self, call: bool, now: int, owner: object, wait: int | None = None) -> Ticket:
-        """Ask for a place for a request, or for a call, which goes first.
+    def request_stream(
+        self, is_call: bool, now: int, owner: object, max_wait: int | None = None
+    ) -> StreamRecord:
+        """Ask for a stream for a request, or for a call, which takes precedence.
 
-        The ticket waits for it no longer than `wait` and the limit.
+        It waits for the stream no longer than `max_wait` and the limit.
         """
-        longest = self.limits.call_wait if call else self.limits.request_wait
-        if wait is not None:
-            longest = min(longest, max(0, wait))
-        ticket = Ticket(call, now + longest, owner)
-        queue = self.calls if call else self.requests
-        if self.leaving:
-            self.over(ticket, StreamOutcome.NOT_PROCESSED, "left the list")
-        elif self.held_back(now):
-            self.over(ticket, StreamOutcome.NOT_PROCESSED, "held back")
+        wait = self.limits.call_wait if is_call else self.limits.request_wait
+        if max_wait is not None:
+            wait = min(wait, max(0, max_wait))
+        stream = StreamRecord(is_call, now + wait, owner)
+        queue = self.waiting_calls if is_call else self.waiting_requests
+        if not self.is_listed:
+            self.finish_incomplete(stream, StreamOutcome.NOT_PROCESSED, EndReason.NOT_LISTED)
+        elif self.is_backing_off(now):
+            self.finish_incomplete(stream, StreamOutcome.NOT_PROCESSED, EndReason.BACKING_OFF)
         elif len(queue) >= self.limits.max_waiting:
-            self.over(ticket, StreamOutcome.NOT_PROCESSED, "too many wait")
+            self.finish_incomplete(stream, StreamOutcome.NOT_PROCESSED, EndReason.QUEUE_FULL)
         else:
-            queue.append(ticket)
-        return ticket
+            queue.append(stream)
+        return stream
 
-    def withdraw(self, ticket: Ticket, now: int) -> StreamOutcome:
-        """End a ticket on behalf of its owner; return what is known of the request.
+    def withdraw(self, stream: StreamRecord, now: int) -> StreamOutcome:
+        """End a stream on behalf of its owner; return what is known of the request.
 
-        One that is not committed can't have run, as its end is never sent.
+        Without its end queued, the request can't have run: the end is never sent.
         """
-        if ticket.outcome:
-            return ticket.outcome
-        committed = ticket.stage in (StreamStage.COMMITTED, StreamStage.SENT)
-        if committed or ticket.answering:
+        if stream.outcome:
+            return stream.outcome
+        end_queued = stream.stage in (StreamStage.END_QUEUED, StreamStage.END_SENT)
+        if end_queued or stream.response_started:
             outcome = StreamOutcome.UNCERTAIN
         else:
             outcome = StreamOutcome.NOT_PROCESSED
-        ticket.outcome = outcome
+        stream.outcome = outcome
         self.counts["withdrawn"] += 1
-        self.leave(ticket, now)
+        self.detach(stream, now)
         return outcome
 
-    def begun(self, ticket: Ticket, stream: int) -> None:
-        """Note that the ticket's headers are written on its connection, as this stream."""
-        connection = ticket.connection
-        assert connection is not None, "a ticket that has begun has a connection"
+    def headers_queued(self, stream: StreamRecord, stream_id: int) -> None:
+        """Note that a stream's headers are in its connection's output, with this id."""
+        connection = stream.connection
+        assert connection is not None, "a stream that is started has a connection"
         invariant(
-            ticket.stage is StreamStage.PLACED and connection.phase is Phase.READY,
+            stream.stage is StreamStage.ASSIGNED and connection.phase is ConnectionPhase.READY,
             "begun-in-place",
-            f"{ticket.stage} on a connection that is {connection.phase}",
+            f"{stream.stage} on a connection in {connection.phase}",
         )
-        invariant(stream not in connection.tickets, "stream-new", str(stream))
-        ticket.stage = StreamStage.BEGUN
-        ticket.stream = stream
-        connection.placed -= 1
-        connection.tickets[stream] = ticket
-        connection.begun += 1
-        connection.noise = max(0.0, connection.noise - FORGIVEN_FRAMES)
-        if stream >= LAST_ID:
-            self.closing(connection)
-
-    def committed(self, ticket: Ticket) -> None:
-        """Note that the end of the request is in what is to be written.
-
-        From now on it may run, unless the connection breaks before its end is written.
+        invariant(stream_id not in connection.streams, "stream-new", str(stream_id))
+        stream.stage = StreamStage.HEADERS_QUEUED
+        stream.stream_id = stream_id
+        connection.assigned -= 1
+        connection.streams[stream_id] = stream
+        connection.streams_started += 1
+        overhead = connection.overhead_frames - OVERHEAD_FRAMES_PER_STREAM
+        connection.overhead_frames = max(0.0, overhead)
+        if stream_id >= RETIREMENT_STREAM_ID:
+            self.drain(connection)
+
+    def end_queued(self, stream: StreamRecord) -> None:
+        """Note that the end of a request is in its connection's output.
+
+        From now on it may run, unless the connection breaks before its end is sent.
         """
-        if invariant(ticket.stage is StreamStage.BEGUN, "committed-once", str(ticket.stage)):
-            ticket.stage = StreamStage.COMMITTED
+        is_started = stream.stage is StreamStage.HEADERS_QUEUED
+        if invariant(is_started, "committed-once", str(stream.stage)):
+            stream.stage = StreamStage.END_QUEUED
 
-    def sent(self, connection: ConnectionRecord, stream: int) -> None:
-        """Note that the socket has taken the end of the request."""
-        ticket = connection.tickets.get(stream)
-        if ticket:
-            invariant(ticket.stage is StreamStage.COMMITTED, "sent-once", str(ticket.stage))
-            ticket.stage = StreamStage.SENT
+    def end_sent(self, connection: ConnectionRecord, stream_id: int) -> None:
+        """Note that the socket has taken the end of a request."""
+        stream = connection.streams.get(stream_id)
+        if stream:
+            invariant(stream.stage is StreamStage.END_QUEUED, "sent-once", str(stream.stage))
+            stream.stage = StreamStage.END_SENT
 
     # ------------------------------------------------------------ responses
 
-    def answering(self, connection: ConnectionRecord, stream: int) -> Ticket | None:
-        """Note that a part of a response arrived; return its ticket if that is not over."""
-        ticket = connection.tickets.get(stream)
-        if ticket:
-            ticket.answering = True
-        return ticket
+    def response_started(self, connection: ConnectionRecord, stream_id: int) -> None:
+        """Note that a part of a response arrived."""
+        stream = connection.streams.get(stream_id)
+        if stream:
+            stream.response_started = True
 
-    def answered(self, ticket: Ticket, now: int) -> None:
-        """Note that the response is complete."""
-        if ticket.outcome:
+    def response_completed(self, stream: StreamRecord, now: int) -> None:
+        """Note that a response is complete."""
+        if stream.outcome:
             return
-        ticket.outcome = StreamOutcome.ANSWERED
-        if ticket.connection:
-            ticket.connection.served += 1
-        self.proven = True
-        self.pause = self.limits.initial_backoff
+        stream.outcome = StreamOutcome.COMPLETED
+        self.http2_confirmed = True
+        self.backoff = self.limits.initial_backoff
         self.counts["answered"] += 1
-        self.leave(ticket, now)
+        self.detach(stream, now)
 
-    def reset(self, connection: ConnectionRecord, stream: int, refused: bool, now: int) -> None:
+    def stream_reset(
+        self, connection: ConnectionRecord, stream_id: int, refused: bool, now: int
+    ) -> None:
         """Note that the server reset a stream.
 
-        One that was refused never ran (RFC 9113, 8.7), unless a part of its response has arrived.
+        A refused one was not processed (RFC 9113, 8.7), unless a part of its response has arrived.
         """
-        ticket = connection.tickets.get(stream)
-        if not ticket:
+        stream = connection.streams.get(stream_id)
+        if not stream:
             return
-        if refused and not ticket.answering:
-            self.end(ticket, StreamOutcome.NOT_PROCESSED, "refused", now)
+        if refused and not stream.response_started:
+            self.fail_started(stream, StreamOutcome.NOT_PROCESSED, EndReason.REFUSED, now)
         else:
-            self.end(ticket, StreamOutcome.UNCERTAIN, "reset", now)
+            self.fail_started(stream, StreamOutcome.UNCERTAIN, EndReason.RESET, now)
 
     # ------------------------------------------------------------ connections
 
-    def ready(self, connection: ConnectionRecord, limit: int, now: int) -> None:
-        """Note that the server's own SETTINGS arrived."""
-        if connection.phase is not Phase.OPENING:
+    def settings_received(self, connection: ConnectionRecord, limit: int, now: int) -> None:
+        """Note that the server's own SETTINGS arrived, with its limit of streams."""
+        if connection.phase is not ConnectionPhase.OPENING:
             return
-        connection.phase = Phase.READY
-        connection.heard = now
-        connection.since = now
-        self.proven = True
-        self.limited(connection, limit)
-        if self.leaving:
-            self.closing(connection)
-
-    def limited(self, connection: ConnectionRecord, limit: int) -> None:
-        """Note how many streams the server allows now.
-
-        Streams beyond a lower limit go on, and none is added.
+        connection.phase = ConnectionPhase.READY
+        connection.received_at = now
+        connection.inactive_since = now
+        self.http2_confirmed = True
+        self.limit_changed(connection, limit)
+        if not self.is_listed:
+            self.drain(connection)
+
+    def limit_changed(self, connection: ConnectionRecord, limit: int) -> None:
+        """Note how many concurrent streams the server allows now.
+
+        Streams above a lowered limit go on, and none is added.
         """
-        connection.limit = max(0, min(limit, self.limits.max_streams))
+        connection.stream_limit = max(0, min(limit, self.limits.max_streams))
 
-    def unopened(self, connection: ConnectionRecord, how: str, now: int) -> None:
-        """Note that a connection was not established; nothing was sent on it.
-
-        `how` is "refused" (no connection), "junk" (another protocol answered), or "silent" or
-        "closed" (no SETTINGS).
-        """
-        if connection not in self.links:
+    def connect_failed(
+        self, connection: ConnectionRecord, failure: ConnectFailure, now: int
+    ) -> None:
+        """Note that a connection ended before the server's SETTINGS; nothing was sent on it."""
+        if connection not in self.connections:
             return
         self.remove(connection)
-        others = any(other.phase is Phase.READY for other in self.links)
-        if how == "refused":
+        has_ready = any(other.phase is ConnectionPhase.READY for other in self.connections)
+        if failure is ConnectFailure.REFUSED:
             self.counts["refused"] += 1
-            if not others:
-                self.fail_waiting("no connection")
-        elif how == "junk" or not self.proven:
-            # A server that closes or is silent without ever having spoken HTTP/2 may have a
-            # temporary fault: it is tried again later.
-            self.unspoken = NOT_SPOKEN if how == "junk" else now + self.limits.recheck_after
-            self.proof = how
+            if not has_ready:
+                self.fail_waiting(EndReason.CONNECT_FAILED)
+        elif failure is ConnectFailure.OTHER_PROTOCOL or not self.http2_confirmed:
+            # A server that closed or was silent, and has never spoken HTTP/2, may have a temporary
+            # fault: HTTP/2 is tried again later.
+            if failure is ConnectFailure.OTHER_PROTOCOL:
+                self.unsupported_until = UNTIL_LISTED_AGAIN
+            else:
+                self.unsupported_until = now + self.limits.recheck_after
+            self.unsupported_cause = failure
             self.counts["unspoken"] += 1
-            self.fail_waiting("not spoken")
+            self.fail_waiting(EndReason.NOT_SUPPORTED)
         else:
-            self.hold(now)
-            if not others:
-                self.fail_waiting("no settings")
-
-    def goaway(self, connection: ConnectionRecord, last_id: int, code: int, now: int) -> None:
-        """Note that the server closes: no stream is added, and those over `last_id` never ran."""
-        if connection.phase is Phase.GONE:
+            self.back_off(now)
+            if not has_ready:
+                self.fail_waiting(EndReason.NO_SETTINGS)
+
+    def goaway_received(
+        self, connection: ConnectionRecord, last_stream_id: int, code: int, now: int
+    ) -> None:
+        """Note a GOAWAY: no stream is added, and those above `last_stream_id` did not run."""
+        if connection.phase is ConnectionPhase.REMOVED:
             return
-        if connection.phase is Phase.OPENING:
-            self.cut(connection, "goaway in place of settings", now)
+        if connection.phase is ConnectionPhase.OPENING:
+            self.abort_connection(connection, EndReason.EARLY_GOAWAY, now)
             return
         self.counts["goaway"] += 1
-        if last_id > connection.last_id:
-            # What was given up as not processed may run after all: this server's word is not
-            # trusted any more.
-            self.cut(connection, "goaway with a last id that rises", now)
+        if last_stream_id > connection.last_stream_id:
+            # Streams that were reported as not processed may run after all: nothing more that the
+            # server says on this connection is relied on.
+            self.abort_connection(connection, EndReason.GOAWAY_ID_INCREASED, now)
             return
-        connection.last_id = last_id
-        unused = connection.phase is Phase.READY and not connection.begun
-        self.closing(connection)
-        if code or unused:
-            self.hold(now)
-        for stream, ticket in sorted(connection.tickets.items()):
-            if stream <= last_id:
+        connection.last_stream_id = last_stream_id
+        is_unused = connection.is_unused
+        self.drain(connection)
+        if code or is_unused:
+            self.back_off(now)
+        for stream_id, stream in sorted(connection.streams.items()):
+            if stream_id <= last_stream_id:
                 continue
-            if ticket.answering:
-                self.end(ticket, StreamOutcome.UNCERTAIN, "goaway", now)
+            if stream.response_started:
+                self.fail_started(stream, StreamOutcome.UNCERTAIN, EndReason.GOAWAY, now)
             else:
-                self.end(ticket, StreamOutcome.NOT_PROCESSED, "goaway", now)
+                self.fail_started(stream, StreamOutcome.NOT_PROCESSED, EndReason.GOAWAY, now)
 
-    def broken(self, connection: ConnectionRecord, now: int, why: str = "broken") -> None:
-        """Note that a connection is closed or broke."""
-        if connection not in self.links:
+    def connection_lost(
+        self, connection: ConnectionRecord, now: int, reason: str = EndReason.BROKEN
+    ) -> None:
+        """Note that a connection broke or was closed."""
+        if connection not in self.connections:
             return
-        if connection.phase is Phase.OPENING:
-            self.unopened(connection, "closed", now)
+        if connection.phase is ConnectionPhase.OPENING:
+            self.connect_failed(connection, ConnectFailure.CLOSED, now)
             return
-        for ticket in list(connection.tickets.values()):
-            if ticket.stage is StreamStage.SENT or ticket.answering:
-                self.end(ticket, StreamOutcome.UNCERTAIN, why, now)
+        for stream in list(connection.streams.values()):
+            if stream.stage is StreamStage.END_SENT or stream.response_started:
+                self.fail_started(stream, StreamOutcome.UNCERTAIN, reason, now)
             else:
-                self.end(ticket, StreamOutcome.NOT_PROCESSED, why, now)
-        unused = connection.phase is Phase.READY and not connection.begun
+                self.fail_started(stream, StreamOutcome.NOT_PROCESSED, reason, now)
+        is_unused = connection.is_unused
         self.remove(connection)
-        if unused:
-            self.hold(now)
-
-    def heard(self, connection: ConnectionRecord, now: int, noise: int = 0) -> None:
-        """Note that bytes arrived; `noise`: frames among them that carry nothing of a response."""
-        if noise:
-            forgiven = (now - connection.heard) * self.limits.max_overhead_frames / (2 * SECOND)
-            connection.noise = max(0.0, connection.noise - forgiven) + noise
-            if (
-                connection.noise > self.limits.max_overhead_frames
-                and connection.phase is not Phase.GONE
-            ):
+        if is_unused:
+            self.back_off(now)
+
+    def bytes_received(
+        self, connection: ConnectionRecord, now: int, overhead_frames: int = 0
+    ) -> None:
+        """Note that bytes arrived; `overhead_frames` of their frames had no response content."""
+        if overhead_frames:
+            elapsed = now - connection.received_at
+            allowance = elapsed * self.limits.max_overhead_frames / (2 * SECOND)
+            remaining = max(0.0, connection.overhead_frames - allowance)
+            connection.overhead_frames = remaining + overhead_frames
+            is_flood = connection.overhead_frames > self.limits.max_overhead_frames
+            if is_flood and connection.phase is not ConnectionPhase.REMOVED:
                 self.counts["flood"] += 1
-                self.cut(connection, "flood of frames that carry nothing", now)
-        connection.heard = now
-        connection.pinged_at = 0
+                self.abort_connection(connection, EndReason.FLOOD, now)
+        connection.received_at = now
+        connection.ping_sent_at = 0
 
     def set_blocked(self, connection: ConnectionRecord, blocked: bool) -> None:
-        """Note whether bytes wait for the socket; no headers are written behind them."""
+        """Note whether bytes wait for the socket; no headers are queued behind them."""
         connection.blocked = blocked
 
-    def leave_list(self, now: int) -> None:
-        """Note that the list does not name this server any more; its streams go on."""
-        self.leaving = True
-        self.fail_waiting("left the list")
-        for connection in list(self.links):
-            if connection.phase is not Phase.OPENING:
-                self.closing(connection)
+    def removed_from_list(self) -> None:
+        """Note that the endpoint list no longer has this server; its streams go on."""
+        self.is_listed = False
+        self.fail_waiting(EndReason.NOT_LISTED)
+        for connection in list(self.connections):
+            if connection.phase is not ConnectionPhase.OPENING:
+                self.drain(connection)
 
-    def anew(self) -> None:
-        """Note that the list named this server again: it may speak HTTP/2 now."""
-        self.unspoken = 0
+    def listed_again(self) -> None:
+        """Note that the endpoint list has this server again: it may support HTTP/2 now."""
+        self.unsupported_until = 0
 
     def tick(self, now: int) -> None:
-        """Do what is due at this time."""
-        for queue in (self.calls, self.requests):
-            for ticket in [ticket for ticket in queue if now >= ticket.until]:
-                queue.remove(ticket)
-                self.over(ticket, StreamOutcome.NOT_PROCESSED, "no place")
-        for connection in list(self.links):
+        """Handle all timeouts that have expired."""
+        for queue in (self.waiting_calls, self.waiting_requests):
+            for stream in [stream for stream in queue if now >= stream.wait_deadline]:
+                queue.remove(stream)
+                outcome = StreamOutcome.NOT_PROCESSED
+                self.finish_incomplete(stream, outcome, EndReason.NO_FREE_STREAM)
+        for connection in list(self.connections):
             self.tick_connection(connection, now)
 
     def tick_connection(self, connection: ConnectionRecord, now: int) -> None:
-        """Do what is due on one connection."""
-        if connection.phase is Phase.OPENING:
-            if now - connection.since >= self.limits.settings_timeout:
-                self.unopened(connection, "silent", now)
-                self.owed.append(Close(connection, "no settings", True))
-        elif self.needs_liveness(connection) and self.liveness_due(connection, now):
+        """Handle the expired timeouts of one connection."""
+        if connection.phase is ConnectionPhase.OPENING:
+            if now - connection.inactive_since >= self.limits.settings_timeout:
+                self.connect_failed(connection, ConnectFailure.SILENT, now)
+                self.pending_actions.append(
+                    CloseConnection(connection, EndReason.NO_SETTINGS, error=True)
+                )
+        elif self.needs_liveness_check(connection) and self.liveness_check_due(connection, now):
             self.check_liveness(connection, now)
-        elif not connection.open and self.is_retired(connection, now):
+        elif not connection.open_streams and self.is_retirable(connection, now):
             self.remove(connection)
-            self.owed.append(Close(connection, "no longer used"))
+            self.pending_actions.append(CloseConnection(connection, EndReason.IDLE))
 
-    def needs_liveness(self, connection: ConnectionRecord) -> bool:
-        """Return whether requests depend on the connection, so that a dead one must be detected."""
-        if connection.tickets:
+    def needs_liveness_check(self, connection: ConnectionRecord) -> bool:
+        """Return whether requests depend on a connection, so that its loss must be detected."""
+        if connection.streams:
             return True
-        return connection.phase is Phase.READY and not connection.limit and self.waits > 0
+        is_ready = connection.phase is ConnectionPhase.READY
+        return is_ready and not connection.stream_limit and self.waiting_count > 0
 
-    def liveness_due(self, connection: ConnectionRecord, now: int) -> bool:
-        """Return whether the connection has been silent for long enough to act."""
-        if connection.pinged_at:
-            return now - connection.pinged_at >= self.limits.ping_timeout
-        return now - connection.heard >= self.limits.ping_after
+    def liveness_check_due(self, connection: ConnectionRecord, now: int) -> bool:
+        """Return whether a PING is due, or the timeout of the last one has expired."""
+        if connection.ping_sent_at:
+            return now - connection.ping_sent_at >= self.limits.ping_timeout
+        return now - connection.received_at >= self.limits.ping_after
 
     def check_liveness(self, connection: ConnectionRecord, now: int) -> None:
         """Send a PING, or close a connection that did not answer one."""
-        if connection.pinged_at:
+        if connection.ping_sent_at:
             self.counts["dead"] += 1
-            self.cut(connection, "no sign of life", now)
+            self.abort_connection(connection, EndReason.NO_PING_ANSWER, now)
         else:
-            connection.pinged_at = now
-            self.owed.append(Ping(connection))
+            connection.ping_sent_at = now
+            self.pending_actions.append(SendPing(connection))
 
-    def is_retired(self, connection: ConnectionRecord, now: int) -> bool:
-        """Return whether a connection without streams is closed now."""
-        return (
-            connection.phase is Phase.CLOSING or now - connection.since >= self.limits.idle_timeout
-        )
+    def is_retirable(self, connection: ConnectionRecord, now: int) -> bool:
+        """Return whether a connection without streams is to be closed."""
+        if connection.phase is ConnectionPhase.DRAINING:
+            return True
+        return now - connection.inactive_since >= self.limits.idle_timeout
 
-    # ------------------------------------------------------------ orders
+    # ------------------------------------------------------------ actions
 
     @property
-    def waits(self) -> int:
-        """The number of tickets that wait for a place."""
-        return len(self.calls) + len(self.requests)
-
-    def order(self, now: int) -> Order | None:
-        """Return the next order, one at a time: carrying it out may change those after it."""
-        if self.owed:
-            return self.owed.popleft()
-        for queue, call in ((self.calls, True), (self.requests, False)):
-            connection = self.choose(call) if queue else None
+    def waiting_count(self) -> int:
+        """The number of requests and calls that wait for a stream."""
+        return len(self.waiting_calls) + len(self.waiting_requests)
+
+    def next_action(self, now: int) -> Action | None:
+        """Return one action; executing it may change the following ones."""
+        if self.pending_actions:
+            return self.pending_actions.popleft()
+        for queue, for_call in ((self.waiting_calls, True), (self.waiting_requests, False)):
+            connection = self.choose_connection(for_call) if queue else None
             if connection:
-                ticket = queue.popleft()
-                ticket.stage = StreamStage.PLACED
-                ticket.connection = connection
-                connection.placed += 1
-                return Grant(ticket)
-        if self.wants_another(now):
-            self.last += 1
-            connection = ConnectionRecord(self.last, now)
-            self.links.append(connection)
+                stream = queue.popleft()
+                stream.stage = StreamStage.ASSIGNED
+                stream.connection = connection
+                connection.assigned += 1
+                return StartStream(stream)
+        if self.should_dial(now):
+            self.last_connection_number += 1
+            connection = ConnectionRecord(self.last_connection_number, now)
+            self.connections.append(connection)
             self.counts["opened"] += 1
             return Dial(connection)
         return None
 
-    def choose(self, call: bool) -> ConnectionRecord | None:
-        """Return the oldest connection that has room.
+    def choose_connection(self, for_call: bool) -> ConnectionRecord | None:
+        """Return the oldest connection with a free stream.
 
-        Those that were opened for a burst become idle after it, and are retired.
+        Connections that were opened for a burst become idle after it, and are retired.
         """
-        return next((link for link in self.links if link.room(call) > 0), None)
+        return next((c for c in self.connections if c.free_streams(for_call) > 0), None)
 
-    def wants_another(self, now: int) -> bool:
+    def should_dial(self, now: int) -> bool:
         """Return whether another connection is to be opened.
 
-        Only one is opened at a time, so that its places count before the next is opened. None is
-        opened where the server allows no stream at all: another connection would not change that.
+        One is opened at a time, so that its streams count before the next is opened. None is opened
+        if the server allows no streams at all, which another connection would not change.
         """
-        if not self.waits or self.leaving or now < self.not_before or not self.speaks(now):
+        if not self.waiting_count or not self.is_listed:
             return False
-        if any(link.phase is Phase.OPENING for link in self.links):
+        if now < self.dial_not_before or not self.supports_http2(now):
             return False
-        ready = [link for link in self.links if link.phase is Phase.READY]
-        if ready and not any(link.limit for link in ready):
+        if any(c.phase is ConnectionPhase.OPENING for c in self.connections):
             return False
-        limit = self.limits.max_connections + (1 if self.calls else 0)
-        return len(ready) < limit and len(self.links) < 2 * limit
+        ready = [c for c in self.connections if c.phase is ConnectionPhase.READY]
+        if ready and not any(c.stream_limit for c in ready):
+            return False
+        limit = self.limits.max_connections + (1 if self.waiting_calls else 0)
+        return len(ready) < limit and len(self.connections) < 2 * limit
 
-    def held_back(self, now: int) -> bool:
-        """Return whether there is no connection, and none may be opened yet."""
-        return now < self.not_before and not any(link.phase is Phase.READY for link in self.links)
+    def is_backing_off(self, now: int) -> bool:
+        """Return whether there is no ready connection, and none may be opened yet."""
+        has_ready = any(c.phase is ConnectionPhase.READY for c in self.connections)
+        return now < self.dial_not_before and not has_ready
 
-    def hold(self, now: int) -> None:
+    def back_off(self, now: int) -> None:
         """Open no connection for a while (exponential backoff).
 
-        This protects a server with a fault, and this process's descriptors, against connection
-        after connection.
+        Connections opened one after the other would load a faulty server, and use up this
+        process's file descriptors.
         """
-        self.not_before = now + self.pause
-        self.pause = min(2 * self.pause, self.limits.max_backoff)
-        if self.held_back(now):
-            self.fail_waiting("held back")
+        self.dial_not_before = now + self.backoff
+        self.backoff = min(2 * self.backoff, self.limits.max_backoff)
+        if self.is_backing_off(now):
+            self.fail_waiting(EndReason.BACKING_OFF)
 
     # ------------------------------------------------------------ bookkeeping
 
-    def cut(self, connection: ConnectionRecord, why: str, now: int) -> None:
-        """Close a connection for what the server did."""
-        opening = connection.phase is Phase.OPENING
-        self.broken(connection, now, why)
-        if opening:
-            self.hold(now)
-        self.owed.append(Close(connection, why, True))
+    def abort_connection(self, connection: ConnectionRecord, reason: EndReason, now: int) -> None:
+        """Close a connection because of the server's behaviour."""
+        was_opening = connection.phase is ConnectionPhase.OPENING
+        self.connection_lost(connection, now, reason)
+        if was_opening:
+            self.back_off(now)
+        self.pending_actions.append(CloseConnection(connection, reason, error=True))
 
-    def closing(self, connection: ConnectionRecord) -> None:
-        """Add no stream to a connection any more."""
-        connection.phase = Phase.CLOSING
+    def drain(self, connection: ConnectionRecord) -> None:
+        """Start no more streams on a connection; those on it go on."""
+        connection.phase = ConnectionPhase.DRAINING
 
     def remove(self, connection: ConnectionRecord) -> None:
-        """Forget a connection that has no streams."""
-        self.links.remove(connection)
-        connection.phase = Phase.GONE
-        invariant(
-            not connection.open,
-            "nothing-left-on-it",
-            f"{connection.open} streams of a connection that is gone",
-        )
-
-    def fail_waiting(self, why: str) -> None:
-        """End all tickets that wait for a place."""
-        for queue in (self.calls, self.requests):
+        """Remove a connection that has no streams."""
+        self.connections.remove(connection)
+        connection.phase = ConnectionPhase.REMOVED
+        open_streams = connection.open_streams
+        invariant(not open_streams, "nothing-left-on-it", f"{open_streams} streams are left")
+
+    def fail_waiting(self, reason: EndReason) -> None:
+        """End all requests and calls that wait for a stream."""
+        for queue in (self.waiting_calls, self.waiting_requests):
             while queue:
-                self.over(queue.popleft(), StreamOutcome.NOT_PROCESSED, why)
+                self.finish_incomplete(queue.popleft(), StreamOutcome.NOT_PROCESSED, reason)
 
-    def leave(self, ticket: Ticket, now: int) -> None:
-        """Remove a ticket from its queue or its connection."""
-        connection = ticket.connection
+    def detach(self, stream: StreamRecord, now: int) -> None:
+        """Remove a stream from its queue or its connection."""
+        connection = stream.connection
         if connection is None:
-            queue = self.calls if ticket.call else self.requests
-            if ticket in queue:
-                queue.remove(ticket)
-        elif ticket.stage is StreamStage.PLACED:
-            connection.placed -= 1
+            queue = self.waiting_calls if stream.is_call else self.waiting_requests
+            if stream in queue:
+                queue.remove(stream)
+        elif stream.stage is StreamStage.ASSIGNED:
+            connection.assigned -= 1
         else:
-            found = connection.tickets.pop(ticket.stream, None)
-            invariant(found is ticket, "stream-known", str(ticket.stream))
-        ticket.stage = StreamStage.OVER
-        if connection and not connection.open:
-            connection.since = now
-            connection.pinged_at = 0
-
-    def end(self, ticket: Ticket, outcome: StreamOutcome, why: str, now: int) -> None:
-        """End a ticket that has a place, without a complete response."""
-        self.leave(ticket, now)
-        self.over(ticket, outcome, why)
-
-    def over(self, ticket: Ticket, outcome: StreamOutcome, why: str) -> None:
-        """Note the outcome of a ticket without a complete response, for its owner too."""
-        ticket.stage = StreamStage.OVER
-        ticket.outcome = outcome
+            found = connection.streams.pop(stream.stream_id, None)
+            invariant(found is stream, "stream-known", str(stream.stream_id))
+        stream.stage = StreamStage.FINISHED
+        if connection and not connection.open_streams:
+            connection.inactive_since = now
+            connection.ping_sent_at = 0
+
+    def fail_started(
+        self, stream: StreamRecord, outcome: StreamOutcome, reason: str, now: int
+    ) -> None:
+        """End a stream that is on a connection, without a complete response."""
+        self.detach(stream, now)
+        self.finish_incomplete(stream, outcome, reason)
+
+    def finish_incomplete(self, stream: StreamRecord, outcome: StreamOutcome, reason: str) -> None:
+        """Set the outcome of a stream without a complete response, and report it to its owner."""
+        stream.stage = StreamStage.FINISHED
+        stream.outcome = outcome
         self.counts["never" if outcome is StreamOutcome.NOT_PROCESSED else "maybe"] += 1
-        self.owed.append(Over(ticket, outcome, why))
+        self.pending_actions.append(StreamFailed(stream, outcome, reason))
 
     def check(self) -> None:
         """Check the invariants of the account."""
-        ready = [link for link in self.links if link.phase is Phase.READY]
-        invariant(
-            len(ready) <= self.limits.max_connections + 1, "connections-bounded", str(len(ready))
-        )
-        longest_queue = max(len(self.calls), len(self.requests))
+        ready = [c for c in self.connections if c.phase is ConnectionPhase.READY]
+        is_bounded = len(ready) <= self.limits.max_connections + 1
+        invariant(is_bounded, "connections-bounded", str(len(ready)))
+        longest_queue = max(len(self.waiting_calls), len(self.waiting_requests))
         invariant(longest_queue <= self.limits.max_waiting, "waiting-bounded")
-        for connection in self.links:
-            self.check_connection(connection)
-
-    def check_connection(self, connection: ConnectionRecord) -> None:
-        """Check the invariants of one connection."""
-        name = f"connection {connection.number}"
-        balanced = all(
-            ticket.connection is connection
-            and ticket.stream == stream
-            and ticket.stage in ON_A_STREAM
-            for stream, ticket in connection.tickets.items()
-        )
-        invariant(connection.placed >= 0 and balanced, "streams-balanced", name)
-        invariant(
-            connection.last_id == NO_LAST
-            or all(stream <= connection.last_id for stream in connection.tickets),
-            "none-over-the-last-id",
-            name,
-        )
+        for connection in self.connections:
+            connection.check()
--- a/tests/upstream/test_stream_accounting.py
+++ b/tests/upstream/test_stream_accounting.py
@@ -1,5 +1,4 @@
-"""The account of streams: its books for any order of events, and each hard case by hand, in virtual
-time."""
+"""The stream account: single cases in virtual time, and its invariants for any order of events."""
 
 from dataclasses import replace
 
@@ -10,17 +9,19 @@
 
 from claycross.upstream.stream_accounting import StreamAccount
 from claycross.upstream.stream_records import (
-    LAST_ID,
     MS,
-    NO_LAST,
+    NO_LAST_STREAM_ID,
+    RETIREMENT_STREAM_ID,
     SECOND,
-    Close,
+    CloseConnection,
+    ConnectFailure,
     ConnectionLimits,
+    ConnectionPhase,
     Dial,
-    Grant,
-    Over,
-    Phase,
-    Ping,
+    EndReason,
+    SendPing,
+    StartStream,
+    StreamFailed,
     StreamOutcome,
     StreamStage,
 )
@@ -33,459 +34,519 @@
     idle_timeout=4 * SECOND,
     max_overhead_frames=100,
 )
+STARTED_STAGES = (StreamStage.HEADERS_QUEUED, StreamStage.END_QUEUED, StreamStage.END_SENT)
 
 
 class Driver:
-    """Carries out orders as a driver would, and keeps what they said."""
+    """Executes an account's actions and records them."""
 
     def __init__(self, **limits):
-        self.account, self.now = StreamAccount(replace(LIMITS, **limits)), SECOND
-        self.over, self.pinged, self.closed, self.dialled, self.begun = {}, [], [], [], []
-        self.next = {}  # stream ids, by connection
-
-    def work(self):
-        while order := self.account.order(self.now):
-            match order:
-                case Grant(t):
-                    link = t.connection
-                    assert (
-                        link.phase is Phase.READY and link.open <= link.limit and not link.blocked
-                    )
-                    number = self.next[link] = self.next.get(link, -1) + 2
-                    self.account.begun(t, number)
-                    self.begun.append(t)
-                case Over(t, outcome, why):
-                    assert t not in self.over and t.outcome is outcome
-                    self.over[t] = outcome, why
-                case Ping(link):
-                    self.pinged.append(link)
-                case Close(link):
-                    self.closed.append(link)
-                case Dial(link):
-                    self.dialled.append(link)
+        self.account = StreamAccount(replace(LIMITS, **limits))
+        self.now = SECOND
+        self.failed = {}  # stream -> its outcome and the reason
+        self.pinged = []
+        self.closed = []
+        self.dialled = []
+        self.started = []
+        self.last_stream_ids = {}  # by connection
+
+    def run_actions(self):
+        while action := self.account.next_action(self.now):
+            match action:
+                case StartStream(stream):
+                    self.start(stream)
+                case StreamFailed(stream, outcome, reason):
+                    assert stream not in self.failed and stream.outcome is outcome
+                    self.failed[stream] = outcome, reason
+                case SendPing(connection):
+                    self.pinged.append(connection)
+                case CloseConnection(connection):
+                    self.closed.append(connection)
+                case Dial(connection):
+                    self.dialled.append(connection)
         self.account.check()
 
-    def pass_time(self, span):
+    def start(self, stream):
+        connection = stream.connection
+        assert connection.phase is ConnectionPhase.READY and not connection.blocked
+        assert connection.open_streams <= connection.stream_limit
+        stream_id = self.last_stream_ids.get(connection, -1) + 2
+        self.last_stream_ids[connection] = stream_id
+        self.account.headers_queued(stream, stream_id)
+        self.started.append(stream)
+
+    def advance(self, span):
         self.now += span
         self.account.tick(self.now)
-        self.work()
-
-    def ask(self, call=False):
-        ticket = self.account.ask(call, self.now, None)
-        self.work()
-        return ticket
-
-    def tell(self, name, *args, timed=True):
-        getattr(self.account, name)(*args, *([self.now] if timed else []))
-        self.work()
-
-    def link(self, limit=10):
-        """A connection that is ready."""
-        first = self.ask()
-        self.tell("ready", self.dialled[-1], limit)
-        if first.stage is StreamStage.BEGUN:
+        self.run_actions()
+
+    def request(self, is_call=False):
+        stream = self.account.request_stream(is_call, self.now, None)
+        self.run_actions()
+        return stream
+
+    def report(self, event, *args, timed=True):
+        """Reports an event by the name of the account's method; `timed`: with the time."""
+        getattr(self.account, event)(*args, *([self.now] if timed else []))
+        self.run_actions()
+
+    def connect(self, limit=10):
+        """Returns a connection that is ready and, if its limit allows, has served one request."""
+        first = self.request()
+        self.report("settings_received", self.dialled[-1], limit)
+        if first.stage is StreamStage.HEADERS_QUEUED:
             self.send(first)
-            self.tell("answered", first)
+            self.report("response_completed", first)
         return self.dialled[-1]
 
-    def send(self, *tickets):
-        for t in tickets:
-            self.account.committed(t)
-            self.account.sent(t.connection, t.stream)
+    def send(self, *streams):
+        """Sends the rest of these requests."""
+        for stream in streams:
+            self.account.end_queued(stream)
+            self.account.end_sent(stream.connection, stream.stream_id)
 
 
-@pytest.mark.parametrize(("last", "code"), [(3, 0), (3, 2), (0, 11), (NO_LAST, 0)])
-def test_what_lies_over_the_last_id_of_a_goaway_never_ran(last, code):
+@pytest.mark.parametrize(("last", "code"), [(3, 0), (3, 2), (0, 11), (NO_LAST_STREAM_ID, 0)])
+def test_streams_above_the_last_id_of_a_goaway_were_not_processed(last, code):
     d = Driver()
-    link = d.link()  # took stream 1
-    tickets = [d.ask() for _ in range(3)]  # 3, 5, 7
-    d.send(*tickets)
-    d.tell("goaway", link, last, code)
-    assert {t.stream: d.over[t] for t in d.over} == {
-        t.stream: (StreamOutcome.NOT_PROCESSED, "goaway") for t in tickets if t.stream > last
+    connection = d.connect()  # with stream 1
+    streams = [d.request() for _ in range(3)]  # with the ids 3, 5 and 7
+    d.send(*streams)
+    d.report("goaway_received", connection, last, code)
+    assert {stream.stream_id: d.failed[stream] for stream in d.failed} == {
+        stream.stream_id: (StreamOutcome.NOT_PROCESSED, EndReason.GOAWAY)
+        for stream in streams
+        if stream.stream_id > last
     }
-    d.tell("broken", link)
-    assert [d.over[t][0] for t in tickets if t.stream <= last] == [
-        StreamOutcome.UNCERTAIN for t in tickets if t.stream <= last
-    ]
+    d.report("connection_lost", connection)
+    kept = [stream for stream in streams if stream.stream_id <= last]
+    assert [d.failed[stream][0] for stream in kept] == [StreamOutcome.UNCERTAIN] * len(kept)
 
 
-def test_a_goaway_in_two_steps_takes_nothing_new_after_the_first():
+def test_a_goaway_in_two_steps_starts_no_stream_after_the_first_step():
     d = Driver()
-    link = d.link()
-    old = [d.ask(), d.ask()]
+    connection = d.connect()
+    old = [d.request(), d.request()]
     d.send(*old)
-    d.tell("goaway", link, NO_LAST, 0)
-    later = d.ask()
-    assert later.stage is StreamStage.WAITING and not d.over and len(d.dialled) == 2
-    d.tell("ready", d.dialled[1], 10)
+    d.report("goaway_received", connection, NO_LAST_STREAM_ID, 0)
+    later = d.request()
+    assert later.stage is StreamStage.WAITING and not d.failed and len(d.dialled) == 2
+    d.report("settings_received", d.dialled[1], 10)
     assert later.connection is d.dialled[1]
-    d.tell("goaway", link, old[0].stream, 0)
-    assert d.over == {old[1]: (StreamOutcome.NOT_PROCESSED, "goaway")}
-    d.tell("answered", old[0])
-    d.pass_time(MS)
-    assert d.closed == [link] and later.stage is StreamStage.BEGUN
+    d.report("goaway_received", connection, old[0].stream_id, 0)
+    assert d.failed == {old[1]: (StreamOutcome.NOT_PROCESSED, EndReason.GOAWAY)}
+    d.report("response_completed", old[0])
+    d.advance(MS)
+    assert d.closed == [connection] and later.stage is StreamStage.HEADERS_QUEUED
 
 
-def test_a_goaway_that_rises_is_trusted_no_more():
+def test_an_increased_last_id_of_a_goaway_closes_the_connection():
     d = Driver()
-    link = d.link()
-    tickets = [d.ask(), d.ask()]
-    d.send(*tickets)
-    d.tell("goaway", link, 3, 0)
-    assert d.over == {tickets[1]: (StreamOutcome.NOT_PROCESSED, "goaway")}
-    d.tell("goaway", link, 5, 0)
-    assert d.over[tickets[0]][0] is StreamOutcome.UNCERTAIN and d.closed == [link]
-    assert d.over[tickets[1]][0] is StreamOutcome.NOT_PROCESSED  # once said
+    connection = d.connect()
+    streams = [d.request(), d.request()]
+    d.send(*streams)
+    d.report("goaway_received", connection, 3, 0)
+    assert d.failed == {streams[1]: (StreamOutcome.NOT_PROCESSED, EndReason.GOAWAY)}
+    d.report("goaway_received", connection, 5, 0)
+    assert d.failed[streams[0]][0] is StreamOutcome.UNCERTAIN and d.closed == [connection]
+    # Reported before the second GOAWAY, and final.
+    assert d.failed[streams[1]][0] is StreamOutcome.NOT_PROCESSED
 
 
 @pytest.mark.parametrize(
-    ("steps", "never"),
+    ("steps", "not_processed"),
     [
         ((), True),
-        (("committed",), True),
-        (("committed", "sent"), False),
-        (("answering",), False),
-        (("committed", "answering"), False),
+        (("end_queued",), True),
+        (("end_queued", "end_sent"), False),
+        (("response_started",), False),
+        (("end_queued", "response_started"), False),
     ],
 )
-def test_a_broken_connection_leaves_in_doubt_what_was_wholly_written(steps, never):
+def test_after_a_lost_connection_only_completely_sent_requests_may_have_run(steps, not_processed):
     d = Driver()
-    link, t = d.link(), d.ask()
+    connection = d.connect()
+    stream = d.request()
     for step in steps:
-        getattr(d.account, step)(*([t] if step == "committed" else [link, t.stream]))
-    d.tell("broken", link)
-    assert d.over[t][0] is (StreamOutcome.NOT_PROCESSED if never else StreamOutcome.UNCERTAIN)
+        args = [stream] if step == "end_queued" else [connection, stream.stream_id]
+        getattr(d.account, step)(*args)
+    d.report("connection_lost", connection)
+    expected = StreamOutcome.NOT_PROCESSED if not_processed else StreamOutcome.UNCERTAIN
+    assert d.failed[stream][0] is expected
 
 
-@pytest.mark.parametrize("answering", [False, True])
+@pytest.mark.parametrize("response_started", [False, True])
 @pytest.mark.parametrize("refused", [False, True])
-def test_a_refused_stream_never_ran_unless_it_is_being_answered(refused, answering):
+def test_a_refused_stream_was_not_processed_unless_its_response_has_started(
+    refused, response_started
+):
     d = Driver()
-    link, t = d.link(), d.ask()
-    d.send(t)
-    if answering:
-        d.account.answering(link, t.stream)
-    d.tell("reset", link, t.stream, refused)
-    assert d.over[t][0] is (
-        StreamOutcome.NOT_PROCESSED if refused and not answering else StreamOutcome.UNCERTAIN
-    )
-    d.tell("reset", link, t.stream, refused)  # again, and for streams that nobody knows: nothing
-    d.tell("reset", link, 999, True)
-    d.tell("answered", t)
-    assert len(d.over) == 1
-
-
-def test_a_limit_of_one_does_not_become_a_flood_of_connections():
+    connection = d.connect()
+    stream = d.request()
+    d.send(stream)
+    if response_started:
+        d.account.response_started(connection, stream.stream_id)
+    d.report("stream_reset", connection, stream.stream_id, refused)
+    not_processed = refused and not response_started
+    expected = StreamOutcome.NOT_PROCESSED if not_processed else StreamOutcome.UNCERTAIN
+    assert d.failed[stream][0] is expected
+    # Resets of finished and unknown streams, and a late response, have no effect.
+    d.report("stream_reset", connection, stream.stream_id, refused)
+    d.report("stream_reset", connection, 999, True)
+    d.report("response_completed", stream)
+    assert len(d.failed) == 1
+
+
+def test_a_limit_of_one_stream_does_not_open_a_connection_for_each_request():
     d = Driver()
-    link = d.link(limit=1)
-    tickets = [d.ask() for _ in range(4)]
-    assert [t.stage for t in tickets] == [
-        StreamStage.BEGUN,
+    connection = d.connect(limit=1)
+    streams = [d.request() for _ in range(4)]
+    assert [stream.stage for stream in streams] == [
+        StreamStage.HEADERS_QUEUED,
         StreamStage.WAITING,
         StreamStage.WAITING,
         StreamStage.WAITING,
     ]
-    d.tell("ready", d.dialled[1], 1)
-    assert tickets[1].connection is d.dialled[1] and len(d.dialled) == 2 and link.open == 1
-    d.send(tickets[0])
-    d.tell("answered", tickets[0])
-    assert tickets[2].connection is link and d.begun[-1] is tickets[2]
-    call = d.ask(call=True)  # one more, for calls alone
+    d.report("settings_received", d.dialled[1], 1)
+    assert streams[1].connection is d.dialled[1] and len(d.dialled) == 2
+    assert connection.open_streams == 1
+    d.send(streams[0])
+    d.report("response_completed", streams[0])
+    assert streams[2].connection is connection and d.started[-1] is streams[2]
+    call = d.request(is_call=True)  # opens one more connection, for calls only
     assert call.stage is StreamStage.WAITING and len(d.dialled) == 3
-    d.tell("ready", d.dialled[2], 1)
-    assert call.connection is d.dialled[2] and tickets[3].stage is StreamStage.WAITING
+    d.report("settings_received", d.dialled[2], 1)
+    assert call.connection is d.dialled[2] and streams[3].stage is StreamStage.WAITING
 
 
-def test_the_limit_lowered_to_nought_and_back():
+def test_a_limit_lowered_to_zero_and_raised_again():
     d = Driver()
-    link = d.link()
-    running = [d.ask() for _ in range(4)]
+    connection = d.connect()
+    running = [d.request() for _ in range(4)]
     d.send(*running)
-    d.tell("limited", link, 2, timed=False)
-    waits = d.ask()
-    assert waits.stage is StreamStage.WAITING and all(t.stage is StreamStage.SENT for t in running)
-    assert len(d.dialled) == 2  # another is tried for, and has the same limit
-    d.tell("ready", d.dialled[1], 0)
-    d.tell("limited", link, 0, timed=False)
-    for t in running:
-        d.tell("answered", t)
-    assert (
-        waits.stage is StreamStage.WAITING and len(d.dialled) == 2
-    )  # nought is its word: no third
-    d.tell("limited", link, 1, timed=False)
-    assert waits.stage is StreamStage.BEGUN
-
-
-def test_waiting_is_bounded_in_number_and_time_and_ends_as_never_ran():
+    d.report("limit_changed", connection, 2, timed=False)
+    waiting = d.request()
+    assert waiting.stage is StreamStage.WAITING
+    assert all(stream.stage is StreamStage.END_SENT for stream in running)
+    assert len(d.dialled) == 2
+    d.report("settings_received", d.dialled[1], 0)
+    d.report("limit_changed", connection, 0, timed=False)
+    for stream in running:
+        d.report("response_completed", stream)
+    # With a limit of zero everywhere, a third connection would not help and is not opened.
+    assert waiting.stage is StreamStage.WAITING and len(d.dialled) == 2
+    d.report("limit_changed", connection, 1, timed=False)
+    assert waiting.stage is StreamStage.HEADERS_QUEUED
+
+
+def test_waiting_is_limited_in_number_and_time_and_ends_as_not_processed():
     d = Driver()
-    d.link(limit=0)
-    waiting = [d.ask() for _ in range(8)]
-    # one was there before
-    assert [d.over.get(t) for t in waiting] == [None] * 4 + [
-        (StreamOutcome.NOT_PROCESSED, "too many wait")
-    ] * 4
-    d.pass_time(249 * MS)
-    assert len(d.over) == 4
-    d.pass_time(MS)
-    assert {d.over[t] for t in waiting[:4]} == {
-        (StreamOutcome.NOT_PROCESSED, "no place")
-    } and not d.account.waits
-
-
-def test_calls_go_first_and_one_place_is_kept_for_them():
+    d.connect(limit=0)  # its request is the first of the five that may wait
+    waiting = [d.request() for _ in range(8)]
+    queue_full = (StreamOutcome.NOT_PROCESSED, EndReason.QUEUE_FULL)
+    assert [d.failed.get(stream) for stream in waiting] == [None] * 4 + [queue_full] * 4
+    d.advance(249 * MS)
+    assert len(d.failed) == 4
+    d.advance(MS)
+    no_free_stream = (StreamOutcome.NOT_PROCESSED, EndReason.NO_FREE_STREAM)
+    assert {d.failed[stream] for stream in waiting[:4]} == {no_free_stream}
+    assert not d.account.waiting_count
+
+
+def test_calls_take_precedence_and_have_a_reserved_stream():
     d = Driver()
-    d.link(limit=4)
-    requests = [d.ask() for _ in range(4)]
-    call = d.ask(call=True)
-    assert [t.stage for t in requests] == [StreamStage.BEGUN] * 3 + [
-        StreamStage.WAITING
-    ] and call.stage is StreamStage.BEGUN
+    d.connect(limit=4)
+    requests = [d.request() for _ in range(4)]
+    call = d.request(is_call=True)
+    assert [request.stage for request in requests] == [
+        StreamStage.HEADERS_QUEUED,
+        StreamStage.HEADERS_QUEUED,
+        StreamStage.HEADERS_QUEUED,
+        StreamStage.WAITING,
+    ]
+    assert call.stage is StreamStage.HEADERS_QUEUED
 
 
-def test_a_dead_connection_is_known_by_its_silence_while_streams_are_out():
+def test_a_dead_connection_with_open_streams_is_detected_by_ping():
     d = Driver()
-    link, t = d.link(), d.ask()
-    d.send(t)
-    d.pass_time(999 * MS)
+    connection = d.connect()
+    stream = d.request()
+    d.send(stream)
+    d.advance(999 * MS)
     assert not d.pinged
-    d.pass_time(MS)
-    assert d.pinged == [link]
-    d.pass_time(999 * MS)
-    d.tell("heard", link)  # any sign of life will do
-    d.pass_time(SECOND)
-    assert d.pinged == [link, link] and not d.closed
-    d.pass_time(SECOND)
-    assert d.closed == [link] and d.over[t] == (StreamOutcome.UNCERTAIN, "no sign of life")
-
-
-def test_an_idle_connection_is_retired_and_one_near_its_last_id_too():
+    d.advance(MS)
+    assert d.pinged == [connection]
+    d.advance(999 * MS)
+    d.report("bytes_received", connection)  # any bytes do, not only the answer to the PING
+    d.advance(SECOND)
+    assert d.pinged == [connection, connection] and not d.closed
+    d.advance(SECOND)
+    assert d.closed == [connection]
+    assert d.failed[stream] == (StreamOutcome.UNCERTAIN, EndReason.NO_PING_ANSWER)
+
+
+def test_idle_connections_and_those_with_high_stream_ids_are_retired():
     d = Driver()
-    link = d.link()
-    d.pass_time(3999 * MS)
+    connection = d.connect()
+    d.advance(3999 * MS)
     assert not d.closed and not d.pinged
-    d.pass_time(MS)
-    assert d.closed == [link] and not d.account.links
-    other = d.link()
-    d.next[other] = LAST_ID - 2
-    t = d.ask()
-    assert other.phase is Phase.CLOSING
-    d.send(t)
-    d.tell("answered", t)
-    d.pass_time(MS)
-    assert d.closed == [link, other]
+    d.advance(MS)
+    assert d.closed == [connection] and not d.account.connections
+    other = d.connect()
+    d.last_stream_ids[other] = RETIREMENT_STREAM_ID - 2
+    stream = d.request()
+    assert other.phase is ConnectionPhase.DRAINING
+    d.send(stream)
+    d.report("response_completed", stream)
+    d.advance(MS)
+    assert d.closed == [connection, other]
 
 
 @pytest.mark.parametrize(
-    ("how", "proven", "why", "speaks", "later"),
+    ("failure", "confirmed", "reason", "supported", "supported_later"),
     [
-        ("refused", False, "no connection", True, True),
-        ("refused", True, "no connection", True, True),
-        ("junk", False, "not spoken", False, False),
-        ("junk", True, "not spoken", False, False),
-        ("silent", False, "not spoken", False, True),
-        ("closed", False, "not spoken", False, True),
-        ("closed", True, "held back", True, True),
+        (ConnectFailure.REFUSED, False, EndReason.CONNECT_FAILED, True, True),
+        (ConnectFailure.REFUSED, True, EndReason.CONNECT_FAILED, True, True),
+        (ConnectFailure.OTHER_PROTOCOL, False, EndReason.NOT_SUPPORTED, False, False),
+        (ConnectFailure.OTHER_PROTOCOL, True, EndReason.NOT_SUPPORTED, False, False),
+        (ConnectFailure.SILENT, False, EndReason.NOT_SUPPORTED, False, True),
+        (ConnectFailure.CLOSED, False, EndReason.NOT_SUPPORTED, False, True),
+        (ConnectFailure.CLOSED, True, EndReason.BACKING_OFF, True, True),
     ],
 )
-def test_a_connection_that_does_not_come_up(how, proven, why, speaks, later):
+def test_a_connection_that_fails_before_the_settings(
+    failure, confirmed, reason, supported, supported_later
+):
+    """`confirmed`: the server has spoken HTTP/2 on an earlier connection."""
     d = Driver()
-    if proven:
-        d.tell("broken", d.link())
-    t = d.ask()
-    d.tell("unopened", d.dialled[-1], how)
-    assert d.over[t] == (StreamOutcome.NOT_PROCESSED, why) and d.account.speaks(d.now) is speaks
-    d.pass_time(30 * SECOND)
-    assert d.account.speaks(d.now) is later
-    d.account.anew()
-    assert d.account.speaks(d.now)
-
-
-def test_silence_in_place_of_settings_ends_the_opening():
+    if confirmed:
+        d.report("connection_lost", d.connect())
+    stream = d.request()
+    d.report("connect_failed", d.dialled[-1], failure)
+    assert d.failed[stream] == (StreamOutcome.NOT_PROCESSED, reason)
+    assert d.account.supports_http2(d.now) is supported
+    d.advance(30 * SECOND)
+    assert d.account.supports_http2(d.now) is supported_later
+    d.account.listed_again()
+    assert d.account.supports_http2(d.now)
+
+
+def test_a_connection_without_settings_is_closed_after_the_timeout():
     d = Driver()
-    t = d.ask()
-    d.pass_time(300 * MS)
-    assert d.over[t][0] is StreamOutcome.NOT_PROCESSED and d.closed == d.dialled
-    d.tell("ready", d.dialled[0], 9)  # too late
-    assert not d.account.links
+    stream = d.request()
+    d.advance(300 * MS)
+    assert d.failed[stream][0] is StreamOutcome.NOT_PROCESSED and d.closed == d.dialled
+    d.report("settings_received", d.dialled[0], 9)  # too late
+    assert not d.account.connections
 
 
-def test_connections_that_serve_nothing_are_opened_ever_more_slowly():
+def test_connections_that_serve_no_request_are_opened_with_exponential_backoff():
     d = Driver()
-    d.tell("broken", d.link())
-    gaps = []
+    d.report("connection_lost", d.connect())
+    gaps_ms = []
     for _ in range(9):
         start = d.now
         before = len(d.dialled)
         while len(d.dialled) == before:
-            d.ask()
-            d.pass_time(10 * MS)
-        gaps.append((d.now - start) // MS)
-        d.tell("ready", d.dialled[-1], 5)
-        d.tell("goaway", d.dialled[-1], 0, 11)
-        d.tell("broken", d.dialled[-1])
-    assert gaps == [10, 110, 210, 410, 810, 1610, 3210, 5010, 5010]
+            d.request()
+            d.advance(10 * MS)
+        gaps_ms.append((d.now - start) // MS)
+        d.report("settings_received", d.dialled[-1], 5)
+        d.report("goaway_received", d.dialled[-1], 0, 11)
+        d.report("connection_lost", d.dialled[-1])
+    assert gaps_ms == [10, 110, 210, 410, 810, 1610, 3210, 5010, 5010]
 
 
-def test_a_flood_of_frames_that_carry_nothing_ends_the_connection():
+def test_a_flood_of_frames_without_response_content_closes_the_connection():
     d = Driver()
-    link, t = d.link(), d.ask()
-    d.send(t)
+    connection = d.connect()
+    stream = d.request()
+    d.send(stream)
     for _ in range(40):
         d.now += 100 * MS
-        d.tell("heard", link, d.now, 5, timed=False)  # 50 a second are borne
+        # 50 frames per second are allowed.
+        d.report("bytes_received", connection, d.now, 5, timed=False)
     assert not d.closed
-    d.tell("heard", link, d.now, 101, timed=False)
-    assert d.closed == [link] and d.over[t][0] is StreamOutcome.UNCERTAIN
+    d.report("bytes_received", connection, d.now, 101, timed=False)
+    assert d.closed == [connection] and d.failed[stream][0] is StreamOutcome.UNCERTAIN
 
 
-def test_what_left_the_list_goes_on_and_takes_nothing_new():
+def test_after_removal_from_the_list_streams_go_on_and_none_is_started():
     d = Driver()
-    link, t = d.link(), d.ask()
-    d.send(t)
-    d.tell("leave_list")
-    late = d.ask()
-    assert d.over == {late: (StreamOutcome.NOT_PROCESSED, "left the list")}
-    d.tell("answered", t)
-    d.pass_time(MS)
-    assert d.closed == [link] and t.outcome is StreamOutcome.ANSWERED
+    connection = d.connect()
+    stream = d.request()
+    d.send(stream)
+    d.report("removed_from_list", timed=False)
+    late = d.request()
+    assert d.failed == {late: (StreamOutcome.NOT_PROCESSED, EndReason.NOT_LISTED)}
+    d.report("response_completed", stream)
+    d.advance(MS)
+    assert d.closed == [connection] and stream.outcome is StreamOutcome.COMPLETED
+
 
+INDEX = st.integers(0, 30)  # taken modulo the number of candidates
 
-N = st.integers(0, 30)  # picks one of what there is
 
+class AccountMachine(RuleBasedStateMachine):
+    """Drives the account against a model of the server.
 
-class Books(RuleBasedStateMachine):
-    """Against a server that is modelled apart: what it has run, and what it has said it will
-    not."""
+    The model has the requests that the server has run, and those that it will not run any more.
+    """
 
     def __init__(self):
         super().__init__()
         self.d = Driver(max_connections=3)
-        self.tickets, self.withdrawn = [], {}
-        self.ran = set()  # tickets that the server runs or has run
-        self.shut = {}  # connection -> the last id that the server will run
+        self.streams = []
+        self.withdrawn = {}  # stream -> the outcome that withdraw() returned
+        self.ran = set()  # streams whose request the server has run, or may yet run
+        self.last_processed_ids = {}  # connection -> the last id that the server processes
 
-    def live(self, *at):
-        return [t for t in self.tickets if t.stage in at]
+    def in_stage(self, *stages):
+        return [stream for stream in self.streams if stream.stage in stages]
 
-    def links(self, *phases):
-        return [x for x in self.d.account.links if x.phase in (phases or Phase)]
+    def connections(self, *phases):
+        found = self.d.account.connections
+        return [connection for connection in found if connection.phase in phases]
+
+    def open_connections(self):
+        return list(self.d.account.connections)
 
     @rule(
-        call=st.booleans(),
+        is_call=st.booleans(),
         limit=st.integers(1, 6),
-        up=st.sampled_from(["ready"] * 4 + ["refused", "no"]),
+        result=st.sampled_from(["ready"] * 4 + [ConnectFailure.REFUSED, "pending"]),
     )
-    def ask(self, call, limit, up):
-        self.tickets.append(self.d.ask(call))
-        for link in self.links(Phase.OPENING):
-            if up != "no":
-                self.d.tell(*(("ready", link, limit) if up == "ready" else ("unopened", link, up)))
+    def request(self, is_call, limit, result):
+        self.streams.append(self.d.request(is_call))
+        for connection in self.connections(ConnectionPhase.OPENING):
+            if result == "ready":
+                self.d.report("settings_received", connection, limit)
+            elif result is ConnectFailure.REFUSED:
+                self.d.report("connect_failed", connection, result)
 
     @rule(span=st.sampled_from([MS, MS, 60 * MS, 300 * MS, 1100 * MS, 5 * SECOND]))
-    def time(self, span):
-        self.d.pass_time(span)
-
-    @precondition(lambda self: self.links())
-    @rule(n=N, limit=st.integers(0, 6))
-    def limit(self, n, limit):
-        self.d.tell("limited", self.links()[n % len(self.links())], limit, timed=False)
-
-    @precondition(lambda self: self.live(StreamStage.BEGUN, StreamStage.COMMITTED))
-    @rule(n=N, whole=st.booleans())
-    def write(self, n, whole):
-        found = self.live(StreamStage.BEGUN, StreamStage.COMMITTED)
-        t = found[n % len(found)]
-        if t.stage is StreamStage.BEGUN:
-            self.d.account.committed(t)
-        if whole:
-            self.d.account.sent(t.connection, t.stream)
-
-    @precondition(lambda self: self.live(StreamStage.SENT))
-    @rule(n=N, how=st.sampled_from(["", "answering", "answered"]))
-    def run(self, n, how):
-        t = self.live(StreamStage.SENT)[n % len(self.live(StreamStage.SENT))]
-        if t.stream <= self.shut.get(t.connection, NO_LAST):
-            self.ran.add(t)
-            if how:
-                self.d.account.answering(t.connection, t.stream)
-            if how == "answered":
-                self.d.tell("answered", t)
-
-    @precondition(
-        lambda self: self.live(StreamStage.BEGUN, StreamStage.COMMITTED, StreamStage.SENT)
+    def advance(self, span):
+        self.d.advance(span)
+
+    @precondition(lambda self: self.open_connections())
+    @rule(index=INDEX, limit=st.integers(0, 6))
+    def change_limit(self, index, limit):
+        connections = self.open_connections()
+        connection = connections[index % len(connections)]
+        self.d.report("limit_changed", connection, limit, timed=False)
+
+    @precondition(lambda self: self.in_stage(StreamStage.HEADERS_QUEUED, StreamStage.END_QUEUED))
+    @rule(index=INDEX, is_sent=st.booleans())
+    def write(self, index, is_sent):
+        streams = self.in_stage(StreamStage.HEADERS_QUEUED, StreamStage.END_QUEUED)
+        stream = streams[index % len(streams)]
+        if stream.stage is StreamStage.HEADERS_QUEUED:
+            self.d.account.end_queued(stream)
+        if is_sent:
+            self.d.account.end_sent(stream.connection, stream.stream_id)
+
+    @precondition(lambda self: self.in_stage(StreamStage.END_SENT))
+    @rule(index=INDEX, response=st.sampled_from(["none", "started", "completed"]))
+    def process(self, index, response):
+        streams = self.in_stage(StreamStage.END_SENT)
+        stream = streams[index % len(streams)]
+        last_id = self.last_processed_ids.get(stream.connection, NO_LAST_STREAM_ID)
+        if stream.stream_id <= last_id:
+            self.ran.add(stream)
+            if response != "none":
+                self.d.account.response_started(stream.connection, stream.stream_id)
+            if response == "completed":
+                self.d.report("response_completed", stream)
+
+    @precondition(lambda self: self.in_stage(*STARTED_STAGES))
+    @rule(index=INDEX, refused=st.booleans())
+    def reset(self, index, refused):
+        """A correct server refuses only streams that it has not processed.
+
+        One that has started the response may refuse the stream all the same: then the account must
+        not rely on it.
+        """
+        streams = self.in_stage(*STARTED_STAGES)
+        stream = streams[index % len(streams)]
+        refused = refused and (stream not in self.ran or stream.response_started)
+        self.d.report("stream_reset", stream.connection, stream.stream_id, refused)
+
+    @precondition(lambda self: self.streams)
+    @rule(index=INDEX)
+    def withdraw(self, index):
+        stream = self.streams[-1 - index % len(self.streams)]
+        was_finished = stream.stage is StreamStage.FINISHED
+        end_was_queued = stream.stage in (StreamStage.END_QUEUED, StreamStage.END_SENT)
+        outcome = self.d.account.withdraw(stream, self.d.now)
+        self.d.run_actions()
+        if not was_finished:
+            self.withdrawn[stream] = outcome
+            if end_was_queued:
+                self.ran.add(stream)  # the end of the request may yet arrive
+
+    @precondition(lambda self: self.connections(ConnectionPhase.READY, ConnectionPhase.DRAINING))
+    @rule(
+        index=INDEX,
+        code=st.sampled_from([0, 0, 2, 11]),
+        ids_above_ran=st.sampled_from([NO_LAST_STREAM_ID, 0, 4]),
+    )
+    def goaway(self, index, code, ids_above_ran):
+        connections = self.connections(ConnectionPhase.READY, ConnectionPhase.DRAINING)
+        connection = connections[index % len(connections)]
+        if ids_above_ran == NO_LAST_STREAM_ID:
+            last_id = NO_LAST_STREAM_ID
+        else:
+            ran = [stream.stream_id for stream in self.ran if stream.connection is connection]
+            last_id = max(ran, default=0) + ids_above_ran
+        before = self.last_processed_ids.get(connection, NO_LAST_STREAM_ID)
+        self.last_processed_ids[connection] = min(last_id, before)
+        self.d.report("goaway_received", connection, last_id, code)
+
+    @precondition(lambda self: self.open_connections())
+    @rule(
+        index=INDEX,
+        event=st.sampled_from(["lost", "received", "received", "flood", "blocked", "unblocked"]),
     )
-    @rule(n=N, refused=st.booleans())
-    def reset(self, n, refused):
-        """A server that keeps to the rules refuses only what it has not run; one that has begun to
-        answer may say so all the same, and is not believed."""
-        found = self.live(StreamStage.BEGUN, StreamStage.COMMITTED, StreamStage.SENT)
-        t = found[n % len(found)]
-        self.d.tell("reset", t.connection, t.stream, refused and (t not in self.ran or t.answering))
-
-    @precondition(lambda self: self.tickets)
-    @rule(n=N)
-    def withdraw(self, n):
-        t = self.tickets[-1 - n % len(self.tickets)]
-        committed, over = (
-            t.stage in (StreamStage.COMMITTED, StreamStage.SENT),
-            t.stage is StreamStage.OVER,
-        )
-        outcome = self.d.account.withdraw(t, self.d.now)
-        self.d.work()
-        if not over:
-            self.withdrawn[t] = outcome
-            if committed:
-                self.ran.add(t)  # its end may yet arrive
-
-    @precondition(lambda self: self.links(Phase.READY, Phase.CLOSING))
-    @rule(n=N, code=st.sampled_from([0, 0, 2, 11]), far=st.sampled_from([NO_LAST, 0, 4]))
-    def goaway(self, n, code, far):
-        found = self.links(Phase.READY, Phase.CLOSING)
-        link = found[n % len(found)]
-        ran = [t.stream for t in self.ran if t.connection is link]
-        last = NO_LAST if far == NO_LAST else max(ran, default=0) + far
-        self.shut[link] = min(last, self.shut.get(link, NO_LAST))
-        self.d.tell("goaway", link, last, code)
-
-    @precondition(lambda self: self.links())
-    @rule(n=N, how=st.sampled_from(["broken", "heard", "heard", "flood", "stick", "go on"]))
-    def line(self, n, how):
-        link = self.links()[n % len(self.links())]
-        if how == "broken":
-            self.d.tell("broken", link)
-        elif how in ("heard", "flood"):
-            self.d.tell("heard", link, self.d.now, 200 if how == "flood" else 3, timed=False)
+    def connection_event(self, index, event):
+        connections = self.open_connections()
+        connection = connections[index % len(connections)]
+        if event == "lost":
+            self.d.report("connection_lost", connection)
+        elif event in ("received", "flood"):
+            frames = 200 if event == "flood" else 3
+            self.d.report("bytes_received", connection, self.d.now, frames, timed=False)
         else:
-            self.d.tell("set_blocked", link, how == "stick", timed=False)
+            self.d.report("set_blocked", connection, event == "blocked", timed=False)
 
     @invariant()
-    def what_never_ran_did_not_run(self):
-        for t in self.ran:
-            assert t.outcome is not StreamOutcome.NOT_PROCESSED
-        for t, outcome in self.withdrawn.items():
-            assert t.outcome is outcome and t not in self.d.over
+    def no_request_that_ran_is_reported_as_not_processed(self):
+        for stream in self.ran:
+            assert stream.outcome is not StreamOutcome.NOT_PROCESSED
+        for stream, outcome in self.withdrawn.items():
+            assert stream.outcome is outcome and stream not in self.d.failed
 
     @invariant()
-    def what_can_not_run_any_more_is_not_left_in_doubt(self):
-        for t, (outcome, why) in self.d.over.items():
-            assert outcome is StreamOutcome.NOT_PROCESSED or t in self.ran or why != "goaway"
+    def a_goaway_leaves_no_unprocessed_stream_uncertain(self):
+        for stream, (outcome, reason) in self.d.failed.items():
+            is_uncertain = outcome is not StreamOutcome.NOT_PROCESSED
+            assert not is_uncertain or stream in self.ran or reason != EndReason.GOAWAY
 
     @invariant()
-    def nothing_is_lost_and_all_is_bounded(self):
-        a = self.d.account
-        a.check()
-        waiting = [*a.calls, *a.requests]
-        for t in self.tickets:
-            assert (t.stage is StreamStage.OVER) == (t.outcome is not None)
-            assert (t in waiting) == (t.stage is StreamStage.WAITING)
-            if t.stage in (StreamStage.BEGUN, StreamStage.COMMITTED, StreamStage.SENT):
-                assert t.connection in a.links and t.connection.tickets[t.stream] is t
-        assert len(a.links) <= 2 * (a.limits.max_connections + 1)
-        assert len(waiting) <= 2 * a.limits.max_waiting
-
-
-Books.TestCase.settings = settings(
+    def every_stream_is_accounted_for_and_limits_hold(self):
+        account = self.d.account
+        account.check()
+        waiting = [*account.waiting_calls, *account.waiting_requests]
+        for stream in self.streams:
+            assert (stream.stage is StreamStage.FINISHED) == (stream.outcome is not None)
+            assert (stream in waiting) == (stream.stage is StreamStage.WAITING)
+            if stream.stage in STARTED_STAGES:
+                assert stream.connection in account.connections
+                assert stream.connection.streams[stream.stream_id] is stream
+        assert len(account.connections) <= 2 * (account.limits.max_connections + 1)
+        assert len(waiting) <= 2 * account.limits.max_waiting
+
+
+AccountMachine.TestCase.settings = settings(
     max_examples=120, stateful_step_count=50, deadline=None, derandomize=True
 )
-test_the_books = Books.TestCase
+test_the_account_in_any_order_of_events = AccountMachine.TestCase
