--- a/tests/upstream/test_http2_storm.py
+++ b/tests/upstream/test_http2_storm.py
@@ -1,5 +1,7 @@
-"""Two thousand requests, half of them `licence`, over engines that lower limits, go away, reset and
-die."""
+"""Two thousand requests over HTTP/2 while engines lower limits, send GOAWAY, reset streams and die.
+
+Half of the requests are of the class `licence`, which must not run twice.
+"""
 
 import collections
 import contextlib
@@ -15,57 +17,66 @@
 from standins.http2 import LIMIT, H2Engine, H2Wire
 from standins.servers import EVENTS, NEVER, chat, eventually
 
-REQUESTS, CLIENTS, SEED, DEADLINE = 2000, 40, 20261201, 4.0
+REQUESTS = 2000
+CLIENTS = 40
+SEED = 20261201
+DEADLINE_S = 4.0
+STREAM_LIMIT = 30
 
 
-class Fleet:
-    """What all engines together have run and hold; their mishaps are drawn from one seed."""
+class EngineFleet:
+    """What all engines together have run and hold; their faults are drawn from one seed."""
 
     def __init__(self):
         self.lock = threading.Lock()
-        self.runs, self.held, self.tries = collections.Counter(), {}, collections.Counter()
-        self.did = collections.Counter()
+        self.writes = collections.Counter()  # by request key
+        self.held_states = {}  # request key -> when its read was done
+        self.tries = collections.Counter()  # by kind of engine and request key
+        self.fault_counts = collections.Counter()
 
-    def drawn(self, engine, request):
-        """Which mishap, by the request and how often that was asked for here."""
+    def draw(self, engine, request):
+        """Returns a number below 1 that depends on the request and on its tries at this stage."""
         with self.lock:
             key = (engine.kind, request["x-request-id"])
             self.tries[key] += 1
             return random.Random(f"{SEED} {key} {self.tries[key]}").random()
 
-    def did_run(self, engine, request):
+    def record_run(self, engine, request):
         key = request["x-request-id"]
         with self.lock:
             if engine.kind == "p":
-                self.held[key] = time.monotonic()
+                self.held_states[key] = time.monotonic()
             else:
-                self.runs[key] += 1
-                self.held.pop(key, None)  # fetched
+                self.writes[key] += 1
+                self.held_states.pop(key, None)  # the writer has fetched it
 
     def read(self, engine, request, stream):
-        draw = self.drawn(engine, request)
+        draw = self.draw(engine, request)
         if draw < 0.03:
             stream.refuse()
         if draw < 0.05:
-            return stream.reply(503, NEVER)
+            stream.reply(503, NEVER)
+            return
         time.sleep(0.01)
-        self.did_run(engine, request)
+        self.record_run(engine, request)
         if draw < 0.07:
             stream.reset()
         stream.reply(202, body=b'{"cached_tokens":5}')
 
     def write(self, engine, request, stream):
-        draw = self.drawn(engine, request)
+        draw = self.draw(engine, request)
         if draw < 0.04:
             stream.refuse()
         if draw < 0.06:
-            return stream.reply(503, NEVER)
-        self.did_run(engine, request)
+            stream.reply(503, NEVER)
+            return
+        self.record_run(engine, request)
         time.sleep(0.01)
         if draw < 0.08:
             stream.reset()
         if draw < 0.09:
-            return stream.reply(500)
+            stream.reply(500)
+            return
         stream.begin()
         if draw < 0.10:
             stream.reset()
@@ -75,114 +86,124 @@
                 time.sleep(0.02)
         stream.end()
 
-    def let_go(self, key):
+    def release(self, key):
         with self.lock:
-            self.held.pop(key, None)
+            self.held_states.pop(key, None)
 
 
-class Held(H2Engine):
-    """Tells the fleet of each call to let go as it comes: one that is there before the read frees
-    nothing."""
+class StatefulEngine(H2Engine):
+    """Reports each release to the fleet as it arrives: one before the read releases nothing."""
 
     def take(self, message, stream):
         method, target, _ = message.start.split()
         if method == "DELETE":
-            self.fleet.let_go(target.rpartition("/")[2])
+            self.fleet.release(target.rpartition("/")[2])
         super().take(message, stream)
 
 
-class Storm(threading.Thread):
-    """One mishap of a whole connection after the other, on a seeded script."""
+class ConnectionFaults(threading.Thread):
+    """Causes one fault of a whole connection after the other, drawn from a seed."""
 
     def __init__(self, fleet, engines):
         super().__init__(daemon=True)
-        self.fleet, self.engines, self.over = fleet, engines, threading.Event()
+        self.fleet = fleet
+        self.engines = engines
+        self.stopped = threading.Event()
         self.rng = random.Random(SEED)
 
     def run(self):
-        while not self.over.wait(0.12):
+        while not self.stopped.wait(0.12):
             engine = self.rng.choice(self.engines)
-            links, draw = engine.live(), self.rng.random()
+            connections = engine.live()
+            draw = self.rng.random()
             with contextlib.suppress(OSError):
-                if links:
-                    self.strike(self.rng.choice(links), draw)
+                if connections:
+                    self.cause_fault(self.rng.choice(connections), draw)
 
-    def strike(self, link, draw):
+    def cause_fault(self, connection, draw):
         if draw < 0.45:
-            link.allow(self.rng.choice([0, 1, 2, 4, 30]))
-            if link.engine.limit:
-                threading.Timer(0.15, self.mend, [link]).start()
-            self.fleet.did["limit"] += 1
+            connection.allow(self.rng.choice([0, 1, 2, 4, STREAM_LIMIT]))
+            if connection.engine.limit:
+                threading.Timer(0.15, self.restore_limit, [connection]).start()
+            self.fleet.fault_counts["limit"] += 1
         elif draw < 0.8:
-            self.fleet.did["goaway"] += 1
-            link.retire(self.rng)
+            self.fleet.fault_counts["goaway"] += 1
+            connection.retire(self.rng)
         else:
-            self.fleet.did["died"] += 1
-            link.cut()
+            self.fleet.fault_counts["died"] += 1
+            connection.cut()
 
-    def mend(self, link):
+    def restore_limit(self, connection):
         with contextlib.suppress(OSError):
-            link.allow(30)
+            connection.allow(STREAM_LIMIT)
 
 
-def test_two_thousand_requests_through_a_storm(site):
-    fleet = Fleet()
+def test_two_thousand_requests_while_connections_fail(site):
+    fleet = EngineFleet()
     engines = [
-        Held(kind, plan=fleet.read if kind == "p" else fleet.write, limit=30) for kind in "pppddd"
+        StatefulEngine(kind, plan=fleet.read if kind == "p" else fleet.write, limit=STREAM_LIMIT)
+        for kind in "pppddd"
     ]
     for engine in engines:
         engine.fleet = fleet
     s = site(*engines, release=True, http2={"ping_after_ms": 300, "ping_wait_ms": 300})
-    storm = Storm(fleet, engines)
-    storm.start()
-    answers, licence, late = collections.Counter(), set(), []
-
-    def client(n):
-        with s.client() as c:
-            for k in range(REQUESTS // CLIENTS):
-                key, cls = f"{n:03x}{k:05x}", ("browse", "licence")[k % 2]
+    faults = ConnectionFaults(fleet, engines)
+    faults.start()
+    answers = collections.Counter()  # by status and whether the response was complete
+    licence_keys = set()
+    late = []
+
+    def send_requests(client_number):
+        with s.client() as client:
+            for n in range(REQUESTS // CLIENTS):
+                key = f"{client_number:03x}{n:05x}"
+                cls = ("browse", "licence")[n % 2]
                 if cls == "licence":
-                    licence.add(key)
+                    licence_keys.add(key)
                 start = time.monotonic()
                 chat(
-                    c,
+                    client,
                     cls=cls,
                     key=key,
-                    timeout=int(DEADLINE * 1000),
-                    X_Route_Key=f"s{n}",
-                    X_Attrs=f"prompt_len=300,prefix=q{n},prefix_len=200,max_out=20",
+                    timeout=int(DEADLINE_S * 1000),
+                    X_Route_Key=f"s{client_number}",
+                    X_Attrs=f"prompt_len=300,prefix=q{client_number},prefix_len=200,max_out=20",
                 )
-                status = c.status()
-                if time.monotonic() - start > DEADLINE + 0.3:
+                status = client.status()
+                if time.monotonic() - start > DEADLINE_S + 0.3:
                     late.append(key)
-                whole = c.rest(status).whole
+                whole = client.rest(status).whole
                 answers[status, whole] += 1
-                if not whole:  # the connection is closed then: that is how a broken stream ends
-                    c.__exit__()
-                    c.__init__(s.address)
+                if not whole:  # the gateway ends a broken stream by closing the connection
+                    client.__exit__()
+                    client.__init__(s.address)
                 time.sleep(0.02)
-            c.sock.setblocking(False)
+            client.sock.setblocking(False)
             with contextlib.suppress(BlockingIOError, ConnectionError):
-                assert not c.sock.recv(1), "more than one answer"
-
-    threads = [threading.Thread(target=client, args=(n,), daemon=True) for n in range(CLIENTS)]
-    for t in threads:
-        t.start()
-    for t in threads:
-        t.join(90)
-    storm.over.set()
+                assert not client.sock.recv(1), "more than one answer"
+
+    threads = [
+        threading.Thread(target=send_requests, args=(n,), daemon=True) for n in range(CLIENTS)
+    ]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join(90)
+    faults.stopped.set()
     assert sum(answers.values()) == REQUESTS and not late, (answers, late)
-    assert answers[200, True] > 0.6 * REQUESTS, answers  # the rest: refused, or it may have run
+    # The rest was rejected, or is of the class `licence` and may have run.
+    assert answers[200, True] > 0.6 * REQUESTS, answers
     assert {status for status, _ in answers} <= {200, 502, 503}
-    twice = {key: n for key, n in fleet.runs.items() if n > 1 and key in licence}
-    assert not twice and min(fleet.did[x] for x in ("limit", "goaway", "died")) > 3, fleet.did
-    eventually(lambda: not fleet.held)
-    assert not any(engine.faults for engine in engines), [e.faults for e in engines]
+    run_twice = {key: n for key, n in fleet.writes.items() if n > 1 and key in licence_keys}
+    assert not run_twice
+    fault_counts = fleet.fault_counts
+    assert min(fault_counts[kind] for kind in ("limit", "goaway", "died")) > 3, fault_counts
+    eventually(lambda: not fleet.held_states)
+    assert not any(engine.faults for engine in engines), [engine.faults for engine in engines]
 
 
-def test_a_limit_lowered_before_the_first_settings_were_heard_blames_nobody():
-    """The stand-in itself: a stream that was opened before its client could know of the limit is no
-    fault."""
+def test_the_stand_in_allows_streams_that_were_opened_before_its_first_limit_was_known():
+    """A test of the stand-in engine: such a stream is no fault of its client."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
         engine = types.SimpleNamespace(
@@ -195,13 +216,13 @@
             at_head=None,
             take=lambda message, stream: None,
         )
-        link = H2Wire(engine, types.SimpleNamespace(sock=ours))
+        connection = H2Wire(engine, types.SimpleNamespace(sock=ours))
         client = h2.connection.H2Connection(h2.config.H2Configuration(client_side=True))
-        talking = threading.Thread(target=link.talk, daemon=True)
-        talking.start()
+        server_thread = threading.Thread(target=connection.talk, daemon=True)
+        server_thread.start()
         client.initiate_connection()
         client.receive_data(theirs.recv(65_536))
-        link.allow(0)
+        connection.allow(0)
         client.send_headers(
             1, [(":method", "GET"), (":path", "/"), (":scheme", "http"), (":authority", "x")]
         )
@@ -209,8 +230,9 @@
         eventually(lambda: engine.heads or engine.faults)
         assert not engine.faults
         theirs.settimeout(5)
-        while client.remote_settings[LIMIT] != 0:  # it is told all the same, once that is heard
+        # The new limit is sent once the client has acknowledged the first settings.
+        while client.remote_settings[LIMIT] != 0:
             client.receive_data(theirs.recv(65_536))
             theirs.sendall(client.data_to_send())
         theirs.shutdown(socket.SHUT_WR)
-        talking.join(5)
+        server_thread.join(5)
