--- a/claycross/upstream/http2.py
+++ b/claycross/upstream/http2.py
@@ -74,7 +74,7 @@
         self.timer = loop.call_later(TICK_INTERVAL_NS, self.tick)
 
     def connect(self, endpoint: Endpoint) -> Connection:
-        """Return a connection on which HTTP/2 is spoken from the first byte."""
+        """Return a connection that carries HTTP/2 from the first byte on."""
         return self.pool.dial(endpoint.address)
 
     def peer(self, endpoint: Endpoint) -> Peer:
--- a/claycross/upstream/http2_peer.py
+++ b/claycross/upstream/http2_peer.py
@@ -1,4 +1,4 @@
-"""One engine that is spoken to by HTTP/2: its stream account and its connections."""
+"""One engine that is reached over HTTP/2: its stream account and its connections."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self.logged_unsupported_until = 0  # value of the account that was logged last
 
     def start(self, stream: Stream, is_call: bool, max_wait: int) -> None:
-        """Start a stream as soon as a connection has room for it."""
+        """Start a stream as soon as a connection has a free stream for it."""
         now = self.client.loop.now()
         stream.record = self.account.request_stream(is_call, now, stream, max_wait)
         self.run_actions()
--- a/claycross/upstream/http2_stream.py
+++ b/claycross/upstream/http2_stream.py
@@ -43,7 +43,7 @@
         ...
 
     def connect(self, endpoint: Endpoint) -> Connection:
-        """Return a connection on which HTTP/2 is spoken from the first byte."""
+        """Return a connection that carries HTTP/2 from the first byte on."""
         ...
 
     def expedite_tick(self) -> None:
--- a/claycross/upstream/stream_accounting.py
+++ b/claycross/upstream/stream_accounting.py
@@ -54,7 +54,7 @@
         # HTTP/2 is assumed to be unsupported until this time, or UNTIL_LISTED_AGAIN.
         self.unsupported_until = 0
         self.unsupported_cause: ConnectFailure | None = None  # why it is assumed so
-        self.http2_confirmed = False  # the server has spoken HTTP/2 before
+        self.http2_confirmed = False  # the server has used HTTP/2 before
         self.dial_not_before = 0  # no connection is opened before this time
         self.backoff = limits.initial_backoff  # after the next connection that serves no request
         self.last_connection_number = 0
@@ -209,7 +209,7 @@
             if not has_ready:
                 self.fail_waiting(EndReason.CONNECT_FAILED)
         elif failure is ConnectFailure.OTHER_PROTOCOL or not self.http2_confirmed:
-            # A server that closed or was silent, and has never spoken HTTP/2, may have a temporary
+            # A server that closed or was silent, and has never used HTTP/2, may have a temporary
             # fault: HTTP/2 is tried again later.
             if failure is ConnectFailure.OTHER_PROTOCOL:
                 self.unsupported_until = UNTIL_LISTED_AGAIN
--- a/tests/upstream/test_http2.py
+++ b/tests/upstream/test_http2.py
@@ -131,13 +131,8 @@
         ("d", goes_away(2, 2), "licence", 200, 2),
         ("d", goes_away(0), "licence", 502, 1),  # the last id itself: it may have run
         ("d", goes_away(0), "browse", 200, 2),
-        (
-            "d",
-            goes_away(-(2**31)),
-            "licence",
-            502,
-            1,
-        ),  # the first of two GOAWAYs, without the second
+        # The first of two GOAWAYs, without the second.
+        ("d", goes_away(-(2**31)), "licence", 502, 1),
         ("d", cuts, "licence", 502, 1),
         ("d", cuts, "browse", 200, 2),
         ("d", resets, "licence", 502, 1),
--- a/tests/upstream/test_stream_accounting.py
+++ b/tests/upstream/test_stream_accounting.py
@@ -317,7 +317,7 @@
 def test_a_connection_that_fails_before_the_settings(
     failure, confirmed, reason, supported, supported_later
 ):
-    """`confirmed`: the server has spoken HTTP/2 on an earlier connection."""
+    """`confirmed`: the server has used HTTP/2 on an earlier connection."""
     d = Driver()
     if confirmed:
         d.report("connection_lost", d.connect())
