--- a/claycross/frontends/chat.py
+++ b/claycross/frontends/chat.py
@@ -70,7 +70,9 @@
         if head.method != "POST":
             raise RequestError(405, "POST only", [("Allow", "POST")])
         arrival = self.arrival(request)
-        headers = [field for field in head.raw if field[0].lower() not in UNFORWARDED_HEADERS]
+        headers = [
+            field for field in head.raw_headers if field[0].lower() not in UNFORWARDED_HEADERS
+        ]
         payload = OutgoingRequest(head.method, head.target, headers, request.body)
         exchange = Exchange(self, connection, request.closes)
         accepted = self.manager.accept(arrival, head.get("x-request-id"), payload, exchange)
--- a/claycross/frontends/embeddings.py
+++ b/claycross/frontends/embeddings.py
@@ -148,7 +148,7 @@
     ) -> OutgoingRequest:
         """Return the request as it is forwarded to an engine."""
         dropped = UNFORWARDED_HEADERS | PRIVATE_HEADERS
-        headers = [field for field in request.head.raw if field[0].lower() not in dropped]
+        headers = [field for field in request.head.raw_headers if field[0].lower() not in dropped]
         return OutgoingRequest(
             request.head.method,
             request.head.target,
--- a/claycross/upstream/connection_pool.py
+++ b/claycross/upstream/connection_pool.py
@@ -57,7 +57,7 @@
             if index is None:
                 return self.dial(address)
             connection = idle.pop(index).connection
-            connection.idle = None
+            connection.on_idle_event = None
             connection.watch()
             self.used += 1
             if connection.is_idle():
--- a/claycross/upstream/http1.py
+++ b/claycross/upstream/http1.py
@@ -120,7 +120,7 @@
     ) -> AttemptEnd:
         """Feed a response to the reader until it ends."""
         while True:
-            partial = not parser.between()
+            partial = not parser.at_boundary()
             try:
                 data = connection.recv(reader.idle_timeout(partial))
             except TimeoutExpired:
--- a/claycross/upstream/http2.py
+++ b/claycross/upstream/http2.py
@@ -165,7 +165,7 @@
             match part:
                 case None:
                     raise MalformedMessageError(502, "idle timeout")
-                case wire.Answered(_, status, headers):
+                case wire.ResponseHead(_, status, headers):
                     # Not earlier: this task learns from the response, or from the outcome of
                     # the stream, that the request was sent.
                     reader.request_sent()
@@ -223,7 +223,7 @@
                     status = part.status
                 case wire.Data():
                     body += part.data
-                    stream.data_consumed(part.counted)
+                    stream.data_consumed(part.flow_controlled_bytes)
                 case wire.Ended():
                     return CallResponse(status, body)
                 case StreamFailed(_, StreamOutcome.NOT_PROCESSED, EndReason.NOT_SUPPORTED):
--- a/claycross/upstream/http2_connection.py
+++ b/claycross/upstream/http2_connection.py
@@ -53,7 +53,7 @@
             self.flush()
             self.read(socket)
         except MalformedMessageError as error:
-            if isinstance(error, wire.OlderSpoken):
+            if isinstance(error, wire.Http1ResponseError):
                 failure = ConnectFailure.OTHER_PROTOCOL
             reason = f"junk: {error}"
             self.send_last()
@@ -68,13 +68,13 @@
             if not data:
                 return
             events = self.session.feed(data)
-            overhead_frames = self.session.noisy()
+            overhead_frames = self.session.take_control_frame_count()
             self.peer.account.bytes_received(self.record, self.loop.now(), overhead_frames)
             for event in events:
                 self.handle(event)
             self.write_bodies()
             self.flush()
-            if len(self.session.out) > MAX_UNSENT_BYTES:
+            if len(self.session.send_buffer) > MAX_UNSENT_BYTES:
                 raise MalformedMessageError(
                     502, "the server does not read the responses it asks for"
                 )
@@ -137,11 +137,11 @@
         account = self.peer.account
         now = self.loop.now()
         match event:
-            case wire.Ready(limit):
+            case wire.SettingsReceived(limit):
                 account.settings_received(self.record, limit, now)
                 allowed = self.record.stream_limit
                 self.log(f"http2-ready engine={self.peer.endpoint} streams={allowed}")
-            case wire.Limit(limit):
+            case wire.StreamLimitChanged(limit):
                 account.limit_changed(self.record, limit)
                 self.log(
                     f"http2-limit engine={self.peer.endpoint} streams={self.record.stream_limit} "
@@ -154,14 +154,14 @@
                 )
                 account.goaway_received(self.record, last_stream_id, code, now)
             case wire.Reset(stream_id, code):
-                account.stream_reset(self.record, stream_id, code == wire.REFUSED, now)
-            case wire.Window():
+                account.stream_reset(self.record, stream_id, code == wire.REFUSED_STREAM, now)
+            case wire.WindowUpdated():
                 pass  # write_bodies() follows
             case _:
                 self.handle_response_part(event, now)
 
     def handle_response_part(
-        self, event: wire.Answered | wire.Data | wire.Trailers | wire.Ended, now: int
+        self, event: wire.ResponseHead | wire.Data | wire.Trailers | wire.Ended, now: int
     ) -> None:
         """Add a part of a response to its stream, or discard it if the stream was removed."""
         stream = self.streams.get(event.stream)
@@ -189,7 +189,7 @@
         stream.connection = self
         request = stream.request
         authority = str(self.peer.endpoint)
-        stream_id = self.session.open(
+        stream_id = self.session.send_head(
             request.method, request.target, authority, request.headers(), stream.body_size
         )
         self.peer.account.headers_queued(stream.record, stream_id)
@@ -204,7 +204,7 @@
     def write_bodies(self) -> None:
         """Write as much of the bodies as the server's windows allow, a piece of each in turn."""
         progress = True
-        while progress and self.sending and len(self.session.out) < BODY_BUFFER_BYTES:
+        while progress and self.sending and len(self.session.send_buffer) < BODY_BUFFER_BYTES:
             progress = False
             for stream in list(self.sending.values()):
                 progress = self.write_body_piece(stream) or progress
@@ -212,14 +212,14 @@
     def write_body_piece(self, stream: Stream) -> bool:
         """Write a piece of a body; return whether the windows allowed any."""
         stream_id = stream.stream_id
-        size = min(self.session.room(stream_id), wire.MAX_FRAME, len(stream.unsent_body))
+        size = min(self.session.send_window(stream_id), wire.MAX_FRAME, len(stream.unsent_body))
         if not size:
             stream.stalled_since = stream.stalled_since or self.loop.now()
             self.peer.client.expedite_tick()
             return False
         stream.stalled_since = 0
         is_last = size == len(stream.unsent_body)
-        self.session.body(stream_id, stream.unsent_body[:size], is_last)
+        self.session.send_body(stream_id, stream.unsent_body[:size], is_last)
         stream.unsent_body = stream.unsent_body[size:]
         if is_last:
             del self.sending[stream_id]
@@ -241,9 +241,9 @@
                     self.peer.account.set_blocked(self.record, True)
                     self.loop.spawn(self.resume_writing, self.socket)
                     return
-                for stream_id in self.session.wrote(count):
+                for stream_id in self.session.mark_sent(count):
                     self.peer.account.end_sent(self.record, stream_id)
-                if not self.session.out:
+                if not self.session.send_buffer:
                     self.write_bodies()
         except ConnectionClosedError:
             self.socket.close()  # run() ends then
--- a/claycross/upstream/http2_stream.py
+++ b/claycross/upstream/http2_stream.py
@@ -146,7 +146,7 @@
     def data_consumed(self, counted: int) -> None:
         """Give `counted` bytes of the flow-control window back to the server."""
         if self.connection and not self.connection.closed:
-            self.connection.session.took(self.stream_id, counted)
+            self.connection.session.acknowledge_data(self.stream_id, counted)
             self.connection.flush()
 
     def cancel(self) -> bool:
--- a/tests/recovery/test_warm_start.py
+++ b/tests/recovery/test_warm_start.py
@@ -41,7 +41,7 @@
     current_list = [
         entry(name, started_at=new.now if name in restarted else 0) for name in READERS + WRITERS
     ]
-    new.do(EndpointListUpdate("full", current_list))
+    new.handle(EndpointListUpdate("full", current_list))
     unchanged_count = warm_start.restore(new.router, snapshot, new.now)
     return old, new, unchanged_count
 
@@ -80,7 +80,7 @@
     old, new, _ = restored_router()
     measured = RouterHarness()
     measured.now = new.now
-    measured.do(EndpointListUpdate("full", [entry(name) for name in READERS + WRITERS]))
+    measured.handle(EndpointListUpdate("full", [entry(name) for name in READERS + WRITERS]))
     measured.serve(1, session="mine")
     own_paces = {
         engine.id: (engine.pace, engine.samples)
