--- a/claycross/gateway/endpoint_updates.py
+++ b/claycross/gateway/endpoint_updates.py
@@ -72,7 +72,7 @@
         saved = update.kind == UpdateKind.SAVED
         is_first = not saved and parts.list_freshness.discovery_responded()
         update = parts.incarnations.apply(
-            update, self.loop.now(), time.time_ns(), self.discovery.previous_word_at
+            update, self.loop.now(), time.time_ns(), self.discovery.previous_message_at
         )
         self.log_incarnations()
         update = parts.ejections.apply(update)
@@ -122,7 +122,7 @@
             return
         restored = warm_start.restore(self.parts.chat.router, snapshot, self.loop.now())
         self.log(
-            f"handover-learned engines={restored} of={len(snapshot.engines)} "
+            f"warm-start-restored engines={restored} of={len(snapshot.engines)} "
             f"sessions={len(snapshot.sessions)}"
         )
         state_store.snapshot = None
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -19,7 +19,7 @@
 from claycross import interface as i
 from claycross.net.loop import Timer
 from claycross.requests.manager import RequestManager
-from claycross.upstream.http1 import REST
+from claycross.upstream.http1 import REUSE_DELAY_NS
 from standins.servers import (
     EVENTS,
     NEVER,
@@ -52,7 +52,7 @@
 def rested():
     """Until an engine's connection may be used again: what comes behind an answer is seen by
     then."""
-    passes(3 * REST / SECOND)
+    passes(3 * REUSE_DELAY_NS / SECOND)
 
 
 def read_well(engine, request, wire):
@@ -221,7 +221,7 @@
     answer = s.chat(cls=cls, timeout=20_000)
     assert answer.status == status and (status != 200 or answer.body == WHOLE)
     assert sum(len(e.asked) for e in writers) == sent
-    assert "engine-junk" in s.log() or spoilt in (
+    assert "engine-malformed-response" in s.log() or spoilt in (
         STREAM[:-2],
         STREAM + HALF,
     )  # the module is sooner there
