--- a/tests/routing/test_large_fleets.py
+++ b/tests/routing/test_large_fleets.py
@@ -127,6 +127,20 @@
         check_orders(orders, readers, "kmx")
 
 
+def test_an_engine_added_twice_between_two_uses_is_in_the_order_once():
+    """An engine that is added, removed and added again has two additions in the index's record."""
+    index = EngineIndex()
+    orders = RendezvousOrders(index, "read")
+    readers = {n: IndexedReader(f"e{n}") for n in range(40)}
+    index.rebuild(readers.values())
+    check_orders(orders, readers, ["m"])
+    for state in ("ready", "gone", "ready"):
+        readers[57] = IndexedReader("e57")
+        readers[57].entry.state = state
+        index.update([readers[57]])
+    check_orders(orders, readers, ["m"])
+
+
 @given(st.integers(1, 400), st.integers(1, 130), st.text(max_size=4))
 def test_a_sample_has_no_duplicates(size, limit, salt):
     readers = [IndexedReader(f"e{n}") for n in range(size)]
