--- a/claycross/net/datagrams.py
+++ b/claycross/net/datagrams.py
@@ -52,7 +52,7 @@
         self.sent = 0
         self.received = 0
         self.rejected = 0  # datagrams that were too long, or of an unknown sender
-        self.unsent = 0  # datagrams that were too long, or that the socket did not take
+        self.unsent = 0  # datagrams that were too long, or that the socket could not send
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         # A new process binds the same address while the one that it replaces still runs.
--- a/claycross/net/event_loop.py
+++ b/claycross/net/event_loop.py
@@ -68,7 +68,7 @@
         self.last_poll_at = self.now()
         # What the last poll found ready may have been ready since then.
         self.ready_since = self.last_poll_at
-        self.stalls = 0  # polls after which the process had not run for a while
+        self.stalls = 0  # polls that showed that the process had not run for a while
         self.longest_stall = 0  # ns
 
     def now(self) -> int:
--- a/claycross/net/http1.py
+++ b/claycross/net/http1.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from .http1_encoding import LAST_CHUNK, encode_chunk, encode_request, encode_response
+from .http1_encoding import HEAD_END, LAST_CHUNK, encode_chunk, encode_request, encode_response
 
 __all__ = [
     "LAST_CHUNK",
@@ -36,7 +36,7 @@
 MAX_CHUNK_LINE_BYTES = 256  # a chunk's size line, or a line of the trailers
 MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
-CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+CONTROL_CHARACTER = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 REQUEST_LINE = re.compile(r"([A-Z]{1,20}) ([!-~]+) HTTP/1\.([01])\Z")
 STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9]{2})(?: .*)?\Z")
 CONTENT_LENGTH = re.compile(r"[0-9]{1,12}")
@@ -44,7 +44,6 @@
 PARTIAL_CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{0,8}[ \t]*(?:;.*)?\r?\Z", re.DOTALL)
 SINGLE_HEADERS = ("content-length", "transfer-encoding", "host")  # may not be repeated
 LINE_END = b"\r\n"
-HEAD_END = b"\r\n\r\n"
 FIRST_FINAL_STATUS = 200  # lower statuses are interim
 SWITCHING_PROTOCOLS = 101
 STATUSES_WITHOUT_BODY = (204, 304)
@@ -67,9 +66,8 @@
     status: int = 0
     minor: int = 1  # minor version of HTTP/1
     headers: dict[str, str] = field(default_factory=dict)
-    raw_headers: list[tuple[str, str]] = field(
-        default_factory=list
-    )  # as received, with the case of the names
+    # Names and values as received.
+    raw_headers: list[tuple[str, str]] = field(default_factory=list)
 
     def get(self, name: str, default: str = "") -> str:
         """Return the value of a header; `name` is in lower case."""
@@ -97,7 +95,7 @@
 
 
 class ChunkState(StrEnum):
-    """What a chunked body continues with."""
+    """What the parser of a chunked body expects next."""
 
     SIZE = "size"
     DATA = "data"
@@ -203,7 +201,7 @@
 
 
 class MessageState(StrEnum):
-    """What the bytes on a connection continue with."""
+    """What the parser of a connection expects next."""
 
     HEAD = "head"
     LENGTH = "length"  # a body of a given length
@@ -220,8 +218,6 @@
 STATE_UNTIL_CLOSE = MessageState.UNTIL_CLOSE
 STATE_COMPLETE = MessageState.COMPLETE
 STATE_END = MessageState.END
-
-
 BODY_STATES = (STATE_LENGTH, STATE_CHUNKED, STATE_UNTIL_CLOSE)
 
 
@@ -358,7 +354,7 @@
     def split_header(self, line: bytes) -> tuple[bytes, bytes]:
         """Return the name and the value of a header line."""
         name, colon, value = line.partition(b":")
-        if not colon or not TOKEN.match(name) or CONTROL.search(value):
+        if not colon or not TOKEN.match(name) or CONTROL_CHARACTER.search(value):
             raise MalformedMessageError(400, "a header line is malformed")
         return name, value
 
--- a/claycross/net/listener.py
+++ b/claycross/net/listener.py
@@ -132,9 +132,7 @@
             except BlockingIOError:
                 self.blocked_since = 0
                 return AcceptResult.EMPTY
-            except (
-                ConnectionAbortedError
-            ):  # the client closed the connection before it was accepted
+            except ConnectionAbortedError:  # the client has closed this connection already
                 continue
             except OSError as error:
                 self.accept_errors[errno.errorcode.get(error.errno or 0, "?")] += 1
@@ -143,7 +141,7 @@
         return AcceptResult.MORE
 
     def pause(self) -> AcceptResult:
-        """Stop watching the socket for a while: as it stays readable, polling would never wait."""
+        """Stop watching the socket for a while: it stays readable and would keep the loop busy."""
         self.blocked_since = self.blocked_since or self.loop.now()
         if not self.paused and not self.closed:
             self.paused = True
--- a/tests/net/test_stall_detection.py
+++ b/tests/net/test_stall_detection.py
@@ -25,42 +25,44 @@
 @pytest.mark.parametrize("stall", [0.5, 1.5])
 def test_the_timeout_sent_to_an_engine_excludes_the_time_of_a_stall(site, stall):
     writer = Engine("d")
-    s = site(Engine("p"), writer, release=True)
-    assert s.chat(cls="licence").status == 200
-    with s.client() as c:
-        with stopped(s.process):
-            c.sock.sendall(request("waits"))
+    gateway = site(Engine("p"), writer, release=True)
+    assert gateway.chat(cls="licence").status == 200
+    with gateway.client() as client:
+        with stopped(gateway.process):
+            client.sock.sendall(request("waits"))
             passes(stall)
-        assert c.answer().status == 200
+        assert client.answer().status == 200
     assert int(writer.asked[1]["x-timeout-ms"]) <= REQUEST_TIMEOUT_MS - 1000 * stall + TOLERANCE_MS
 
 
 def test_time_in_the_listen_queue_counts_while_accepting_fails(site, tmp_path):
     faults = SystemFaults(tmp_path, "n0")
     writer = Engine("d")
-    s = site(Engine("p"), writer, release=True, environment=faults.environment())
-    assert s.chat(cls="licence").status == 200
+    gateway = site(Engine("p"), writer, release=True, environment=faults.environment())
+    assert gateway.chat(cls="licence").status == 200
     faults.set(Field.ACCEPT, 1000)
-    with s.client() as c:
-        c.sock.sendall(request("waits"))
+    with gateway.client() as client:
+        client.sock.sendall(request("waits"))
         passes(1.0)
         faults.clear()
-        assert c.answer().status == 200
+        assert client.answer().status == 200
     assert int(writer.asked[1]["x-timeout-ms"]) <= REQUEST_TIMEOUT_MS - 1000 + TOLERANCE_MS
 
 
 def test_a_request_that_expires_during_a_stall_is_rejected_as_usual(site):
     """The router's deadline and the request manager's fallback come due in the same iteration. The
     router must respond first: the fallback breaks the invariant `answered-in-time`."""
-    s = site(Engine("p", plan=lambda engine, message, wire: wire.gone()), Engine("d"), release=True)
-    with s.client() as c:
-        c.sock.sendall(request("waits", cls="browse", timeout=700))
-        eventually(lambda: s.engines[0].asked)
+    gateway = site(
+        Engine("p", plan=lambda engine, message, wire: wire.gone()), Engine("d"), release=True
+    )
+    with gateway.client() as client:
+        client.sock.sendall(request("waits", cls="browse", timeout=700))
+        eventually(lambda: gateway.engines[0].asked)
         passes(0.4)
-        with stopped(s.process):
+        with stopped(gateway.process):
             passes(0.5)
-        assert c.answer().status == 503
-    assert "answered-in-time" not in s.log()
+        assert client.answer().status == 503
+    assert "answered-in-time" not in gateway.log()
 
 
 @given(
@@ -86,9 +88,9 @@
     assert earliest_ready_time(0, 1 * MS, 100 * MS, 90 * MS) == 90 * MS
 
 
-@pytest.mark.parametrize("more", [b"", b"P"])
+@pytest.mark.parametrize("extra_bytes", [b"", b"P"])
 def test_no_request_is_sent_for_a_client_that_closed_while_the_connection_was_established(
-    site, more
+    site, extra_bytes
 ):
     """After a stall one poll reports both that the client closed and that the connection to the
     engine is established. Which is handled first depends on the order in which their sockets were
@@ -96,24 +98,24 @@
     reader = Engine(
         "p", backlog=0, plan=lambda engine, message, wire: passes(0.7) or wire.reply(202)
     )
-    s = site(reader, Engine("d"))
-    assert s.chat().status == 200
-    full, fillers = full_queue(reader)
-    c = s.client()
-    chat(c, key="gone01")
-    eventually(lambda: dialling(s, reader))
-    c.sock.sendall(more)
+    gateway = site(reader, Engine("d"))
+    assert gateway.chat().status == 200
+    listener, fillers = full_queue(reader)
+    client = gateway.client()
+    chat(client, key="gone01")
+    eventually(lambda: dialling(gateway, reader))
+    client.sock.sendall(extra_bytes)
     passes(0.1)
-    with stopped(s.process):
+    with stopped(gateway.process):
         for filler in fillers:
             filler.close()
-        connections = until_connected(full, s.process.pid)
-        c.__exit__()
-    with s.client() as other:
-        assert other.send("GET", "/-/ready").answer().status in (200, 503)
+        connections = until_connected(listener, gateway.process.pid)
+        client.__exit__()
+    with gateway.client() as other_client:
+        assert other_client.send("GET", "/-/ready").answer().status in (200, 503)
     passes(0.3)
     sent = b"".join(received(connection) for connection in connections)
-    full.close()
+    listener.close()
     assert b"POST" not in sent
 
 
