--- a/claycross/frontends/admin_api.py
+++ b/claycross/frontends/admin_api.py
@@ -150,5 +150,5 @@
         try:
             self.tenants.save()
         except OSError as error:
-            self.manager.log(f"tenants-unsaved file={self.tenants.path} {error.strerror}")
+            self.manager.log(f"tenants-write-failed file={self.tenants.path} {error.strerror}")
             raise RequestError(500, "changed here, but not saved: a restart forgets it") from None
--- a/claycross/frontends/admin_socket.py
+++ b/claycross/frontends/admin_socket.py
@@ -116,7 +116,7 @@
         if command.name not in UNLOGGED_CALLS:
             first_line = reply.split(b"\n", 1)[0].decode()
             argument = command.argument[:MAX_ARGUMENT_LOGGED]
-            self.log(f"door {command.name} {argument} -> {first_line}")
+            self.log(f"admin-command {command.name} {argument} -> {first_line}")
         return reply
 
     def unknown_command(self, command: Command) -> bytes:
