--- a/claycross/config/operator_files.py
+++ b/claycross/config/operator_files.py
@@ -53,7 +53,7 @@
     window_kib: WindowKib = 32  # flow-control window of one stream
     noise: FrameCount = 1000  # frames in a burst that carry nothing
 
-    def bounds(self, idle_close: int) -> ConnectionLimits:
+    def connection_limits(self, idle_close: int) -> ConnectionLimits:
         """Return the limits of connections.
 
         Args:
@@ -93,7 +93,7 @@
                 "answer_ms must be a third of period_ms or less: a probe lasts three of it"
             )
 
-    def spec(self) -> MembershipConfig:
+    def membership_config(self) -> MembershipConfig:
         """Return the configuration of the membership protocol."""
         return MembershipConfig(
             self.period_ms * MS,
--- a/claycross/frontends/admin_socket.py
+++ b/claycross/frontends/admin_socket.py
@@ -21,7 +21,7 @@
     TimeoutExpired,
 )
 
-MOST_CALLERS = 48  # connections at once; at the limit the longest silent one is evicted
+MAX_ADMIN_CONNECTIONS = 48  # connections at once; at the limit the longest silent one is evicted
 BACKLOG = 128  # connections that may wait to be accepted
 RECEIVE_TIMEOUT = 900 * MS  # for a caller's line: one that says nothing for so long is closed
 EVICTION_GRACE = 50 * MS  # a caller may not be evicted before
@@ -55,7 +55,7 @@
 
     def has_capacity(self) -> bool:
         """Return whether a connection can be accepted; at the limit a silent one is evicted."""
-        if len(self.connections) < MOST_CALLERS:
+        if len(self.connections) < MAX_ADMIN_CONNECTIONS:
             return True
         now = self.loop.now()
         for connection, since in self.connections.items():
--- a/claycross/frontends/base.py
+++ b/claycross/frontends/base.py
@@ -76,7 +76,7 @@
         manager: RequestManager,
         listen: Address,
         limit: int,
-        passed: int | None = None,
+        inherited_descriptor: int | None = None,
     ):
         """Listen on an address, or an inherited socket, for at most `limit` connections."""
         self.loop = loop
@@ -88,7 +88,11 @@
         # The last exchange of each connection, for the check when it ends.
         self.exchanges: dict[Connection, Exchange] = {}
         self.listener = Listener(
-            loop, listen, self.connection_accepted, self.has_capacity, inherited_descriptor=passed
+            loop,
+            listen,
+            self.connection_accepted,
+            self.has_capacity,
+            inherited_descriptor=inherited_descriptor,
         )
 
     @staticmethod
--- a/claycross/frontends/chat.py
+++ b/claycross/frontends/chat.py
@@ -51,10 +51,10 @@
         limit: int,
         *,
         ready: Callable[[], bool] = lambda: True,
-        passed: int | None = None,
+        inherited_descriptor: int | None = None,
     ):
         """Listen as Frontend does; `ready` tells whether the gateway is ready for clients."""
-        super().__init__(loop, manager, listen, limit, passed)
+        super().__init__(loop, manager, listen, limit, inherited_descriptor)
         self.ready = ready
 
     def handle_request(
--- a/claycross/gateway/gateway.py
+++ b/claycross/gateway/gateway.py
@@ -10,7 +10,7 @@
 from ..discovery.engine_incarnations import EngineIncarnations
 from ..discovery.list_freshness import ListFreshness, freshness_timing
 from ..frontends.admin_api import AdminFrontend, Tenants
-from ..frontends.admin_socket import MOST_CALLERS, AdminSocket
+from ..frontends.admin_socket import MAX_ADMIN_CONNECTIONS, AdminSocket
 from ..frontends.chat import ChatFrontend
 from ..frontends.embeddings import EmbeddingsFrontend
 from ..interface import GossipReceived, Settings
@@ -137,7 +137,7 @@
             pool,
             manager.may_send,
             self.log,
-            http2.bounds(manager.settings.connection_idle_timeout),
+            http2.connection_limits(manager.settings.connection_idle_timeout),
             http2.window_kib * 1024,
             http2.body_wait_ms * MS,
             background=manager.name != CHAT,
@@ -208,7 +208,7 @@
             count,
             settings.zone,
             self.config.seed,
-            cooperation.members.spec(),
+            cooperation.members.membership_config(),
             self.log,
         )
 
@@ -221,7 +221,7 @@
             self.parts.chat,
             self.config.listen,
             connections,
-            passed=self.config.inherited_socket,
+            inherited_descriptor=self.config.inherited_socket,
             ready=self.commands.is_ready,
         )
         self.parts.frontends.append(frontend)
@@ -255,7 +255,7 @@
     """Return how many connections the chat service may have to clients, and to engines."""
     descriptors = config.max_descriptors - RESERVED_DESCRIPTORS
     if config.admin_listen:
-        descriptors -= MOST_CALLERS
+        descriptors -= MAX_ADMIN_CONNECTIONS
     if embeddings:
         descriptors -= embeddings.max_clients + embeddings.max_requests
     if embeddings and admin:
