--- a/claycross/config/operator_files.py
+++ b/claycross/config/operator_files.py
@@ -1,8 +1,8 @@
-"""Configuration files of operators, validated by msgspec: one struct for each file or table.
+"""Configuration files written by operators, validated by msgspec: one struct per file or table.
 
-The structs define the names, ranges and units of the keys. An unknown key or a value out of its
-range raises ConfigurationError naming the file, the place in it, and what is expected. This module
-is imported only where one of the files is given, as the library is not needed otherwise.
+The structs define the names, ranges and units of the keys. An unknown key or a value out of range
+raises ConfigurationError with the file, the position in it and the expected value. The module is
+imported only if one of these files is given, since nothing else needs the library.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from .settings import ConfigurationError, read_toml
 
 StructT = TypeVar("StructT")
-Few = Annotated[int, msgspec.Meta(ge=1, le=16)]
-Many = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-Millis = Annotated[int, msgspec.Meta(ge=10, le=600_000)]
+ConnectionCount = Annotated[int, msgspec.Meta(ge=1, le=16)]
+WaitingCount = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
+Milliseconds = Annotated[int, msgspec.Meta(ge=10, le=600_000)]
 Seconds = Annotated[int, msgspec.Meta(ge=1, le=86_400)]
 StreamCount = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 WindowKib = Annotated[int, msgspec.Meta(ge=1, le=1024)]
@@ -28,47 +28,47 @@
 SuspicionMultiplier = Annotated[float, msgspec.Meta(ge=1, le=60)]
 RetransmitMultiplier = Annotated[float, msgspec.Meta(ge=1, le=10)]
 GatewayCount = Annotated[int, msgspec.Meta(ge=1, le=4096)]
-Key = Annotated[str, msgspec.Meta(min_length=16, max_length=64, pattern="^[ -~]+$")]
-# Two keys at most: the current one, and its predecessor or successor during a rotation.
-Keys = Annotated[list[Key], msgspec.Meta(max_length=2)]
-# A probe lasts three times its timeout: direct, request to helpers, indirect.
-TIMEOUTS_PER_PROBE = 3
+SharedKey = Annotated[str, msgspec.Meta(min_length=16, max_length=64, pattern="^[ -~]+$")]
+# At most two keys: the current one, and its predecessor or successor during a rotation.
+SharedKeys = Annotated[list[SharedKey], msgspec.Meta(max_length=2)]
+# A probe takes up to three ack timeouts: direct probe, request to helpers, indirect probe.
+ACK_TIMEOUTS_PER_PROBE = 3
 
 
 class Http2Config(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
-    """`deploy/http2.toml`: HTTP/2 towards engines; docs/http2.md explains each bound."""
+    """`deploy/http2.toml`: HTTP/2 connections to engines; docs/http2.md explains each limit."""
 
-    # Whether engines whose entry in the list names no protocol are spoken to by HTTP/2.
+    # Whether HTTP/2 is used for engines whose entry in the endpoint list names no protocol.
     everywhere: bool = False
-    connections: Few = 2  # to one engine
+    connections: ConnectionCount = 2  # to one engine
     streams: StreamCount = 256  # on one connection, if the engine allows more
-    waiting: Many = 64  # requests that wait for a stream at one engine
-    wait_ms: Millis = 250  # for a stream
-    settings_ms: Millis = 300  # for SETTINGS, before the engine counts as not speaking HTTP/2
+    waiting: WaitingCount = 64  # requests waiting for a stream to one engine
+    wait_ms: Milliseconds = 250  # longest wait for a stream
+    settings_ms: Milliseconds = 300  # for SETTINGS, before the engine counts as HTTP/1 only
     idle_s: Seconds = 30  # idle timeout; at most half of `conn-idle` in the gateway's settings
-    ping_after_ms: Millis = 1000  # without a frame while requests are in flight
-    ping_wait_ms: Millis = 1000  # for the answer to a ping, before the connection counts as dead
-    body_wait_ms: Millis = 1000  # for flow-control credit while a request body is sent
-    recheck_s: Seconds = 30  # until HTTP/2 is tried again at an engine that did not speak it
+    ping_after_ms: Milliseconds = 1000  # without a frame, while requests are in flight
+    ping_wait_ms: Milliseconds = 1000  # for a ping ack, before the connection counts as dead
+    body_wait_ms: Milliseconds = 1000  # for flow-control credit while a request body is sent
+    recheck_s: Seconds = 30  # until HTTP/2 is tried again with an HTTP/1 engine
     window_kib: WindowKib = 32  # flow-control window of one stream
-    noise: FrameCount = 1000  # frames in a burst that carry nothing
+    noise: FrameCount = 1000  # frames without response content in one burst
 
-    def connection_limits(self, idle_close: int) -> ConnectionLimits:
-        """Return the limits of connections.
+    def connection_limits(self, engine_idle_timeout_ns: int) -> ConnectionLimits:
+        """Return the limits on connections to engines.
 
         Args:
-            idle_close: Nanoseconds after which engines close idle connections; 0 if unknown.
+            engine_idle_timeout_ns: Time after which engines close idle connections; 0 if unknown.
         """
-        idle = self.idle_s * SECOND
-        if idle_close:
-            idle = min(idle, idle_close // 2)
+        idle_timeout_ns = self.idle_s * SECOND
+        if engine_idle_timeout_ns:
+            idle_timeout_ns = min(idle_timeout_ns, engine_idle_timeout_ns // 2)
         return ConnectionLimits(
             max_connections=self.connections,
             max_streams=self.streams,
             max_waiting=self.waiting,
             request_wait=self.wait_ms * MS,
             settings_timeout=self.settings_ms * MS,
-            idle_timeout=idle,
+            idle_timeout=idle_timeout_ns,
             ping_after=self.ping_after_ms * MS,
             ping_timeout=self.ping_wait_ms * MS,
             recheck_after=self.recheck_s * SECOND,
@@ -79,18 +79,20 @@
 class MembersTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     """`[members]`: the membership protocol (SWIM)."""
 
-    period_ms: Millis = 1000  # between two probes
-    answer_ms: Millis = 250  # for an ack, before helpers are asked for an indirect probe
-    helpers: HelperCount = 3  # of an indirect probe
-    suspicion: SuspicionMultiplier = 3.0  # periods for each tenfold of members
-    spread: RetransmitMultiplier = 2.0  # transmissions of an update for each doubling of members
-    cut_after_ms: Millis = 1500  # without any ack, until this gateway counts itself as partitioned
-    keys: Keys = msgspec.field(default_factory=list)
+    period_ms: Milliseconds = 1000  # between two probes
+    answer_ms: Milliseconds = 250  # ack timeout, after which helpers make an indirect probe
+    helpers: HelperCount = 3  # gateways that make an indirect probe
+    # Suspicion timeout in periods, per factor of 10 in members.
+    suspicion: SuspicionMultiplier = 3.0
+    spread: RetransmitMultiplier = 2.0  # transmissions of an update, per doubling of members
+    cut_after_ms: Milliseconds = 1500  # without any ack, until this gateway counts as partitioned
+    keys: SharedKeys = msgspec.field(default_factory=list)
 
     def __post_init__(self) -> None:
-        if TIMEOUTS_PER_PROBE * self.answer_ms > self.period_ms:
+        if ACK_TIMEOUTS_PER_PROBE * self.answer_ms > self.period_ms:
             raise ValueError(
-                "answer_ms must be a third of period_ms or less: a probe lasts three of it"
+                "answer_ms must be a third of period_ms or less: "
+                "a probe takes up to three times answer_ms"
             )
 
     def membership_config(self) -> MembershipConfig:
@@ -109,7 +111,8 @@
 class SumsTable(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
     """`[sums]`: load aggregation."""
 
-    # Among more gateways one aggregates the load of all; among fewer each sends its to all others.
+    # With more gateways than this, one aggregates the load of all; otherwise each gateway sends its
+    # own load to all others.
     above: GatewayCount = FULL_GOSSIP_LIMIT
 
 
--- a/claycross/config/settings.py
+++ b/claycross/config/settings.py
@@ -1,7 +1,7 @@
-"""Settings and configuration files, in the terms of the code.
+"""Conversion of the platform's settings and of the configuration files into typed structures.
 
 The simulator's adapter and the gateway both read the platform's settings here. A file that can't be
-used, or lacks what is required, raises ConfigurationError with a text of one line.
+used, or lacks a required key, raises ConfigurationError with a message of one line.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from .. import interface as i
+from .. import interface
 
 Fields = dict[str, Any]
 Address = tuple[str, int]
@@ -22,24 +22,24 @@
 MS = 1_000_000  # ns
 SECOND = 1_000_000_000  # ns
 KIB = 1024  # bytes
-# Where the settings name none.
-DEFAULT_CONNECT_TIMEOUT = 250 * MS
-DEFAULT_DRAIN_GRACE = 250 * MS
+# Defaults for settings that are left out.
+DEFAULT_CONNECT_TIMEOUT_NS = 250 * MS
+DEFAULT_DRAIN_GRACE_NS = 250 * MS
 DEFAULT_MAX_DESCRIPTORS = 1024
 DEFAULT_ADMIN_CLIENTS = 8
 DEFAULT_STATE_FOLDER = "/tmp"
-# Of Retry-After in the embeddings service's rejections.
-EMBEDDINGS_MAX_RETRY_AFTER = 10 * SECOND
+# Longest Retry-After in rejections of the embeddings service.
+EMBEDDINGS_MAX_RETRY_AFTER_NS = 10 * SECOND
 EMBEDDINGS_CLASSES = frozenset({"embeddings", "rerank"})
 MAX_PORT = 65535
 MAX_DESCRIPTOR = 65535
-DEPLOYMENT_DIGEST_LENGTH = 16  # hexadecimal digits; enough to tell deployments apart
+DEPLOYMENT_DIGEST_LENGTH = 16  # hexadecimal digits; enough to distinguish deployments
 TOKEN_DIGEST_LENGTH = 64  # hexadecimal digits of a SHA-256
 TOKENS_PER_KILOTOKEN = 1000
 
 
 class ConfigurationError(Exception):
-    """The configuration can't be used; the text says why, in one line."""
+    """The configuration can't be used; the message gives the reason in one line."""
 
 
 @contextlib.contextmanager
@@ -56,28 +56,28 @@
 # ------------------------------------------------------------ the platform's settings
 
 
-def read_settings(raw: Fields) -> i.Settings:
+def read_settings(raw: Fields) -> interface.Settings:
     """Convert the settings that the platform gives.
 
     Raises:
         KeyError: A required setting is missing.
         TypeError: A setting is of the wrong kind.
-        ValueError: A setting has no meaning here.
+        ValueError: A setting has an invalid value.
     """
-    info = raw["family-info"]
-    allowed = raw["permissions"]
+    family_info = raw["family-info"]
+    permissions = raw["permissions"]
     safety = raw["safety"]
-    classes = read_classes(raw["categories"], info)
+    classes = read_classes(raw["categories"], family_info)
     kinds = raw["host-types"]
     tenants = [read_tenant(tenant) for tenant in raw.get("tenants", [])]
-    known_roles = list(i.EngineRole)
+    known_roles = list(interface.EngineRole)
     roles = {
-        kind: i.EngineRole(role)
-        for kind, role in zip(kinds, info["kind-role"], strict=False)
+        kind: interface.EngineRole(role)
+        for kind, role in zip(kinds, family_info["kind-role"], strict=False)
         if role in known_roles  # engines of another role are not used
     }
-    memory_sizes = zip(kinds, info.get("kv-tokens", []), strict=False)
-    return i.Settings(
+    memory_sizes = zip(kinds, family_info.get("kv-tokens", []), strict=False)
+    return interface.Settings(
         classes=classes,
         roles=roles,
         memory={kind: int(tokens) for kind, tokens in memory_sizes},
@@ -88,33 +88,35 @@
         tenants={tenant.name: tenant for tenant in tenants},
         over_quota_weight=float(raw.get("over-share-worth", 1)),
         polls_endpoint_list=raw.get("membership-mode") == "ask",
-        max_attempts=int(allowed["send-cap"]),
-        may_cancel=bool(allowed.get("may-cancel")),
-        may_hedge=bool(allowed.get("may-duplicate")),
-        gossip_allowed=bool(allowed.get("peers")),
-        sends_retry_after=bool(allowed.get("retry-after")),
-        max_retry_after=int(allowed.get("max-retry-after", 0)),
-        connection_idle_timeout=int(allowed.get("conn-idle", 0)),
-        release_within=int(info["release-within"]),
-        connect_timeout=int(allowed.get("dial-timeout", DEFAULT_CONNECT_TIMEOUT)),
-        writers_can_read=bool(info.get("writers-read")),
-        clients_resume=bool(info.get("resume")),
+        max_attempts=int(permissions["send-cap"]),
+        may_cancel=bool(permissions.get("may-cancel")),
+        may_hedge=bool(permissions.get("may-duplicate")),
+        gossip_allowed=bool(permissions.get("peers")),
+        sends_retry_after=bool(permissions.get("retry-after")),
+        max_retry_after=int(permissions.get("max-retry-after", 0)),
+        connection_idle_timeout=int(permissions.get("conn-idle", 0)),
+        release_within=int(family_info["release-within"]),
+        connect_timeout=int(permissions.get("dial-timeout", DEFAULT_CONNECT_TIMEOUT_NS)),
+        writers_can_read=bool(family_info.get("writers-read")),
+        clients_resume=bool(family_info.get("resume")),
         slow_start_initial=float(safety["cold-from"]),
         slow_start_duration=int(safety["warm-after"]),
         overload_window=int(safety["fall"]),
         overload_multiple=float(safety["fall-multiple"]),
-        drain_grace=int(safety.get("stop-sending-within", DEFAULT_DRAIN_GRACE)),
+        drain_grace=int(safety.get("stop-sending-within", DEFAULT_DRAIN_GRACE_NS)),
     )
 
 
-def read_classes(categories: list[Fields], info: Fields) -> dict[str, i.RequestClass]:
-    """Convert the request classes; two lists of `family-info` hold further values by position."""
-    prompt_objectives = info.get("aim-us-per-1000-prompt-tokens", [])
-    token_objectives = info.get("token-aim", [])
-    classes: dict[str, i.RequestClass] = {}
+def read_classes(
+    categories: list[Fields], family_info: Fields
+) -> dict[str, interface.RequestClass]:
+    """Convert the request classes; two lists in `family-info` hold one more value for each."""
+    prompt_objectives = family_info.get("aim-us-per-1000-prompt-tokens", [])
+    token_objectives = family_info.get("token-aim", [])
+    classes: dict[str, interface.RequestClass] = {}
     for position, category in enumerate(categories):
         effect, scope = read_effect(category)
-        request_class = i.RequestClass(
+        request_class = interface.RequestClass(
             name=category["name"],
             latency_objective=int(category["slo"]),
             timeout=int(category["give-up"]),
@@ -132,16 +134,16 @@
     return classes
 
 
-def read_effect(category: Fields) -> tuple[i.Effect, i.DeduplicationScope]:
+def read_effect(category: Fields) -> tuple[interface.Effect, interface.DeduplicationScope]:
     """Return whether requests of a class may run twice, and which engines drop duplicates.
 
-    A class whose effect or scope is a word that this version does not know must not run twice.
+    Requests of a class whose effect or scope is unknown to this version must not run twice.
     """
-    effect = category.get("effect", i.Effect.IDEMPOTENT)
-    scope = category.get("group", i.DeduplicationScope.ALL)
-    if effect not in list(i.Effect) or scope not in list(i.DeduplicationScope):
-        return i.Effect.NOT_IDEMPOTENT, i.DeduplicationScope.ALL
-    return i.Effect(effect), i.DeduplicationScope(scope)
+    effect = category.get("effect", interface.Effect.IDEMPOTENT)
+    scope = category.get("group", interface.DeduplicationScope.ALL)
+    if effect not in list(interface.Effect) or scope not in list(interface.DeduplicationScope):
+        return interface.Effect.NOT_IDEMPOTENT, interface.DeduplicationScope.ALL
+    return interface.Effect(effect), interface.DeduplicationScope(scope)
 
 
 def value_at(values: list[Any], position: int) -> Any:
@@ -149,18 +151,18 @@
     return values[position] if position < len(values) else 0
 
 
-def read_tenant(tenant: Fields) -> i.TenantQuota:
+def read_tenant(tenant: Fields) -> interface.TenantQuota:
     """Convert a tenant's quota."""
     quota = float(tenant.get("quota-per-s", 0))
-    return i.TenantQuota(tenant["name"], quota, float(tenant.get("share", 0)))
+    return interface.TenantQuota(tenant["name"], quota, float(tenant.get("share", 0)))
 
 
-def read_report(stats: Fields | None) -> i.LoadReport | None:
+def read_report(stats: Fields | None) -> interface.LoadReport | None:
     """Convert an engine's load report; None where there is none."""
     if not stats:
         return None
     kilotokens = stats.get("x1")
-    return i.LoadReport(
+    return interface.LoadReport(
         stats.get("outstanding"),
         stats.get("backlog"),
         stats.get("x0"),
@@ -180,28 +182,28 @@
     discovery: Address
     seed: int
     max_descriptors: int
-    saved_list: Fields  # the endpoint list as an earlier process knew it
-    settings: i.Settings
+    saved_list: Fields  # the endpoint list as an earlier process last had it
+    settings: interface.Settings
     peer_listen: Address | None = None  # where messages of the other gateways arrive
     peers: tuple[Address, ...] = ()  # all gateways by number, including this one
-    peers_all: Address | None = None  # reaches all gateways
-    # Descriptor of the clients' listening socket, where the platform holds it.
+    peers_all: Address | None = None  # one address that reaches all gateways
+    # Descriptor of the clients' listening socket, where the platform opened it.
     inherited_socket: int | None = None
     admin_listen: Address | None = None  # the operators' admin socket
     state_folder: str = DEFAULT_STATE_FOLDER  # `$TMPDIR`; the state files' folder
-    deployment: str = ""  # digest of the settings; a persisted state is valid for these only
+    deployment: str = ""  # digest of the settings; persisted state is valid only for these
 
 
 def read_descriptor(text: str) -> int | None:
     """Read `$PROXY_PASSED_SOCKET`, the number of an inherited descriptor; None where blank."""
-    number = text.strip()
-    if not number:
+    descriptor = text.strip()
+    if not descriptor:
         return None
-    if not number.isdigit() or int(number) > MAX_DESCRIPTOR:
+    if not descriptor.isdigit() or int(descriptor) > MAX_DESCRIPTOR:
         raise ConfigurationError(
             f"PROXY_PASSED_SOCKET must name a descriptor by its number, not {text!r}"
         )
-    return int(number)
+    return int(descriptor)
 
 
 def read_address(text: Any, name: str) -> Address:
@@ -266,7 +268,7 @@
 
 
 def deployment_digest(settings: Fields) -> str:
-    """Return a digest by which deployments with other settings are told apart."""
+    """Return a digest of the settings, which differs between deployments."""
     text = json.dumps(settings, sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:DEPLOYMENT_DIGEST_LENGTH]
 
@@ -279,7 +281,7 @@
     """The configuration of the embeddings and rerank service."""
 
     listen: Address
-    settings: i.Settings
+    settings: interface.Settings
     max_requests: int
     max_clients: int
     max_response_bytes: int
@@ -288,7 +290,7 @@
 
 @dataclass(slots=True)
 class EtcdConfig:
-    """Where in etcd the endpoint list is kept."""
+    """The address of etcd, and the key prefix of the endpoint list there."""
 
     address: Address
     prefix: str
@@ -323,14 +325,14 @@
 
 
 def read_admin(path: str) -> AdminConfig:
-    """Read the file of the administration API."""
+    """Read the configuration file of the administration API."""
     raw = read_toml(path)
     with conversion_errors(path):
         token_digest = str(raw["token_sha256"])
         if len(token_digest) != TOKEN_DIGEST_LENGTH or set(token_digest) - set("0123456789abcdef"):
             raise ConfigurationError(
                 f"{path}: token_sha256 must be {TOKEN_DIGEST_LENGTH} hexadecimal digits; "
-                "it is off without"
+                "without it the API stays off"
             )
         return AdminConfig(
             listen=read_address(raw["listen"], "listen"),
@@ -341,9 +343,9 @@
 
 
 def read_embeddings(path: str, config: GatewayConfig) -> EmbeddingsConfig:
-    """Read the file of the embeddings service.
+    """Read the configuration file of the embeddings service.
 
-    Settings that it does not hold (drain, slow start, state release) are those of the gateway.
+    Settings that the file does not contain (drain, slow start, state release) are those of chat.
     """
     raw = read_toml(path)
     with conversion_errors(path):
@@ -359,20 +361,22 @@
         )
 
 
-def embeddings_settings(path: str, raw: Fields, chat: i.Settings) -> i.Settings:
+def embeddings_settings(
+    path: str, raw: Fields, chat_settings: interface.Settings
+) -> interface.Settings:
     """Return the settings of the embeddings service, based on those of chat."""
     classes = {name: read_embeddings_class(name, fields) for name, fields in raw["classes"].items()}
     missing = EMBEDDINGS_CLASSES - classes.keys()
     if missing:
         raise ConfigurationError(f"{path}: class {min(missing)} is missing")
     kinds = [str(kind) for kind in raw["kinds"]]
-    shared = set(kinds) & chat.roles.keys()
+    shared = set(kinds) & chat_settings.roles.keys()
     if shared:
         raise ConfigurationError(f"{path}: kind {min(shared)} serves chat")
     return replace(
-        chat,
+        chat_settings,
         classes=classes,
-        roles=dict.fromkeys(kinds, i.EngineRole.MIXED),
+        roles=dict.fromkeys(kinds, interface.EngineRole.MIXED),
         tenants={},
         memory=dict.fromkeys(kinds, int(raw["memory_tokens"])),
         max_attempts=int(raw["attempts"]),
@@ -381,24 +385,24 @@
         gossip_allowed=False,
         polls_endpoint_list=False,
         sends_retry_after=True,
-        max_retry_after=EMBEDDINGS_MAX_RETRY_AFTER,
+        max_retry_after=EMBEDDINGS_MAX_RETRY_AFTER_NS,
     )
 
 
-def read_embeddings_class(name: str, fields: Fields) -> i.RequestClass:
+def read_embeddings_class(name: str, fields: Fields) -> interface.RequestClass:
     """Convert one request class of the embeddings service."""
-    return i.RequestClass(
+    return interface.RequestClass(
         name,
         int(fields["aim_ms"]) * MS,
         int(fields["deadline_ms"]) * MS,
         priority_weight=float(fields.get("worth", 1)),
-        effect=i.Effect.IDEMPOTENT,
+        effect=interface.Effect.IDEMPOTENT,
         streaming=False,
     )
 
 
 def embeddings_limits(path: str, raw: Fields) -> dict[str, int]:
-    """Return the numbers of the embeddings file that must be over 0."""
+    """Return the limits in the embeddings file, all of which must be positive."""
     names = ("most_open", "most_clients", "largest_answer_kib", "attempts", "memory_tokens")
     limits = {name: int(raw[name]) for name in names}
     for name, value in limits.items():
--- a/claycross/frontends/admin_api.py
+++ b/claycross/frontends/admin_api.py
@@ -1,4 +1,4 @@
-"""The administration API, by which the operator lists and changes tenants."""
+"""The administration API, with which the operator lists and changes tenants."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .base import Frontend
 from .errors import ErrorContent, RequestError, json_error
 from .exchange import AcceptedRequest, ClientRequest
-from .tenants import Tenants, bearer, digest
+from .tenants import Tenants, bearer_token, digest
 
 __all__ = ["AdminFrontend", "Tenants"]
 
@@ -24,15 +24,15 @@
 TENANT_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}\Z")
 MIN_KEY_LENGTH = 16  # characters of a tenant's key
 MAX_KEY_LENGTH = 256
-MAX_QUOTA = 1e6  # requests per second
-SEND_TIMEOUT = SECOND  # for a response to be taken
+MAX_QUOTA_PER_S = 1e6  # requests per second
+SEND_TIMEOUT_NS = SECOND  # for the client to take a response
 
 
 class ApiResponse(NamedTuple):
-    """The response to one call."""
+    """The response to one API call."""
 
     status: int
-    value: Any  # its body, as JSON; None: no body
+    value: Any  # the body, as a JSON value; None for no body
 
 
 def require_get(method: str) -> None:
@@ -42,9 +42,9 @@
 
 
 class AdminFrontend(Frontend):
-    """GET /admin/v1/status; GET, PUT and DELETE under /admin/v1/tenants.
+    """Serves GET /admin/v1/status, and GET, PUT and DELETE under /admin/v1/tenants.
 
-    Every call needs the operator's token.
+    Every call must carry the operator's token.
     """
 
     background = True
@@ -71,9 +71,9 @@
     def handle_request(
         self, connection: Connection, request: ClientRequest
     ) -> AcceptedRequest | None:
-        """Authenticate and answer a call; nothing is handed to the request manager."""
+        """Authenticate and answer a call; nothing is passed to the request manager."""
         head = request.head
-        if not hmac.compare_digest(digest(bearer(head)), self.config.token_digest):
+        if not hmac.compare_digest(digest(bearer_token(head)), self.config.token_digest):
             raise RequestError(
                 401, "the operator's token is wanted", [("WWW-Authenticate", "Bearer")]
             )
@@ -84,17 +84,17 @@
             headers = [("Content-Type", "application/json")]
             body = json.dumps(response.value).encode() + b"\n"
         close = request.closes or self.draining
-        connection.send(encode_response(response.status, headers, body, close), SEND_TIMEOUT)
+        connection.send(encode_response(response.status, headers, body, close), SEND_TIMEOUT_NS)
         return None
 
     def call(self, method: str, path: str, body: bytes) -> ApiResponse:
-        """Make a call."""
+        """Execute a call."""
         if path == STATUS_PATH:
             require_get(method)
             return ApiResponse(200, self.status())
         if path == TENANTS_PATH:
             require_get(method)
-            names = sorted(self.tenants.specs)
+            names = sorted(self.tenants.quotas)
             return ApiResponse(200, {"tenants": [self.tenants.show(name) for name in names]})
         root, _, name = path.rpartition("/")
         if root != TENANTS_PATH:
@@ -109,34 +109,34 @@
             raise RequestError(
                 400, "a tenant's name is lower-case letters, digits and dashes", param="name"
             )
-        known = name in self.tenants.specs
+        exists = name in self.tenants.quotas
         if method == "PUT":
-            return self.put(name, known, body)
-        if not known:
+            return self.put(name, exists, body)
+        if not exists:
             raise RequestError(404, "no such tenant")
         if method == "DELETE":
-            self.tenants.drop(name)
+            self.tenants.remove(name)
             self.save()
             return ApiResponse(204, None)
         return ApiResponse(200, self.tenants.show(name))
 
-    def put(self, name: str, known: bool, body: bytes) -> ApiResponse:
+    def put(self, name: str, exists: bool, body: bytes) -> ApiResponse:
         """Add a tenant, or change its quota and, if one is given, its key."""
         try:
-            given = json.loads(body)
-            quota = float(given["quota_per_s"])
-            key = given.get("key")
+            fields = json.loads(body)
+            quota = float(fields["quota_per_s"])
+            key = fields.get("key")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError):
             raise RequestError(400, "quota_per_s must be a number", param="quota_per_s") from None
-        if not 0 < quota <= MAX_QUOTA:
+        if not 0 < quota <= MAX_QUOTA_PER_S:
             raise RequestError(400, "quota_per_s must be over 0", param="quota_per_s")
-        self.tenants.put(name, quota, self.new_key_digest(name, known, key))
+        self.tenants.put(name, quota, self.new_key_digest(name, exists, key))
         self.save()
-        return ApiResponse(200 if known else 201, self.tenants.show(name))
+        return ApiResponse(200 if exists else 201, self.tenants.show(name))
 
-    def new_key_digest(self, name: str, known: bool, key: Any) -> str:
-        """Return the digest of the key that a tenant is to have; a known one may keep its own."""
-        if key is None and known:
+    def new_key_digest(self, name: str, exists: bool, key: Any) -> str:
+        """Return the digest of a tenant's new key; an existing tenant may keep the key it has."""
+        if key is None and exists:
             return self.tenants.key_digest_of(name)
         if not isinstance(key, str) or not MIN_KEY_LENGTH <= len(key) <= MAX_KEY_LENGTH:
             raise RequestError(400, "key must be a text of 16 to 256 characters", param="key")
@@ -146,7 +146,7 @@
         return key_digest
 
     def save(self) -> None:
-        """Save the tenants' file, or report that a restart forgets the change."""
+        """Save the tenants' file; on failure, report that the change is lost at a restart."""
         try:
             self.tenants.save()
         except OSError as error:
--- a/claycross/frontends/base.py
+++ b/claycross/frontends/base.py
@@ -1,7 +1,7 @@
-"""What all frontends share: a listening address and its client connections.
+"""The base class of all frontends: a listening address and its client connections.
 
-Connections are bounded in number and time, so that slow, silent or greedy clients do not hold up
-others. What a request means is up to the subclasses.
+Connections are limited in number and time, so that slow, silent or greedy clients do not delay
+others. Subclasses interpret the requests.
 """
 
 from __future__ import annotations
@@ -33,59 +33,60 @@
 from ..requests.manager import RequestManager
 from .client_state import (
     EVICTED_WITH_UNREAD_BYTES,
-    EVICTION_GRACE,
+    EVICTION_GRACE_NS,
     EVICTION_ORDER,
     ClientEntry,
     ClientState,
 )
 from .errors import ErrorContent, RequestError, plain_text
-from .exchange import SEND_TIMEOUT, AcceptedRequest, ClientRequest, Exchange, PartialRequest
-from .inbox import MAX_READ_AHEAD, Inbox
-
-# A connection without a request is closed then: thousands of clients ask once and stay.
-IDLE_TIMEOUT = 2100 * MS
-# From the first byte (of the first request: from connecting) until a request is complete.
-REQUEST_TIMEOUT = 2200 * MS
-# Reading on after the sending side was shut down is bounded in time and in bytes.
-LINGER_TIMEOUT = 300 * MS
+from .exchange import SEND_TIMEOUT_NS, AcceptedRequest, ClientRequest, Exchange, PartialRequest
+from .inbox import MAX_READ_AHEAD_BYTES, Inbox
+
+# Idle connections are closed early: thousands of clients send one request and stay connected.
+IDLE_TIMEOUT_NS = 2100 * MS
+# From the first byte of a request, or from connecting for the first one, until it is complete.
+REQUEST_TIMEOUT_NS = 2200 * MS
+# Limits on reading after the sending side was shut down.
+LINGER_TIMEOUT_NS = 300 * MS
 MAX_LINGER_BYTES = 1 << 20
-# Delay of the error responses to malformed requests in a row on a connection; doubles.
-ERROR_DELAY = 200 * MS
-MAX_ERROR_DELAY = 1600 * MS
-MAX_COUNTED_ERRORS = 8  # in a row; more make no difference to the delay
-ERROR_SEND_TIMEOUT = SECOND  # for an error response to be taken
+# Delay of the error response to the second malformed request in a row on a connection; it doubles
+# with each further one.
+ERROR_DELAY_NS = 200 * MS
+MAX_ERROR_DELAY_NS = 1600 * MS
+MAX_CONSECUTIVE_ERRORS = 8  # more do not change the delay
+ERROR_SEND_TIMEOUT_NS = SECOND  # for the client to take an error response
 TOO_MANY_REQUESTS = 429
-# Once as much as UNREAD_LIMIT waits in the socket behind a request that is under way, the end of
-# what the client sends could stand behind it unseen. Then one more whole request is read ahead, as
-# long as all connections together have read less than MAX_READ_AHEAD_TOTAL so.
-UNREAD_LIMIT = 16_384
-MAX_FLOODED_READ_AHEAD = MAX_READ_AHEAD + MAX_HEAD + MAX_BODY
-MAX_READ_AHEAD_TOTAL = 16 << 20
-UNREAD_CHECK_INTERVAL = 25 * MS  # between looks at how much waits unread
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+# Once FLOOD_THRESHOLD_BYTES wait in the socket behind a request that is under way, the client's FIN
+# could remain unseen behind them. Then one more whole request is read ahead, as long as all
+# connections together have read ahead less than MAX_TOTAL_READ_AHEAD_BYTES.
+FLOOD_THRESHOLD_BYTES = 16_384
+MAX_FLOODED_READ_AHEAD_BYTES = MAX_READ_AHEAD_BYTES + MAX_HEAD + MAX_BODY
+MAX_TOTAL_READ_AHEAD_BYTES = 16 << 20
+UNREAD_CHECK_INTERVAL_NS = 25 * MS  # between checks of the number of unread bytes
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Frontend:
     """A listening address and its clients; subclasses handle the requests of one protocol."""
 
-    background = False  # whether the connections' tasks run in the background
+    background = False  # whether the connections' tasks run at background priority
 
     def __init__(
         self,
         loop: EventLoop,
         manager: RequestManager,
         listen: Address,
-        limit: int,
+        max_connections: int,
         inherited_descriptor: int | None = None,
     ):
-        """Listen on an address, or an inherited socket, for at most `limit` connections."""
+        """Listen on an address or an inherited socket for at most `max_connections` connections."""
         self.loop = loop
         self.manager = manager
-        self.limit = limit
-        self.draining = False  # every response says that its connection closes
-        self.shedding = False  # and a connection between two requests is closed
-        self.clients: dict[Connection, ClientEntry] = {}  # by their last change, the oldest first
-        # The last exchange of each connection, for the check when it ends.
+        self.max_connections = max_connections
+        self.draining = False  # every response announces that its connection closes
+        self.closing_idle = False  # connections between two requests are closed
+        self.clients: dict[Connection, ClientEntry] = {}  # ordered by last change, the oldest first
+        # The last exchange of each connection, for the check when the connection ends.
         self.exchanges: dict[Connection, Exchange] = {}
         self.listener = Listener(
             loop,
@@ -105,10 +106,10 @@
     def has_capacity(self) -> bool:
         """Return whether a connection can be accepted; at the limit another one is evicted.
 
-        Clients that make requests are protected against hundreds that connect and say nothing,
-        send half a request, or send malformed requests again and again.
+        Clients that make requests are thus protected against hundreds that connect and send
+        nothing, half a request, or malformed requests again and again.
         """
-        if len(self.clients) < self.limit:
+        if len(self.clients) < self.max_connections:
             return True
         connection = self.connection_to_evict()
         if connection is None:
@@ -119,20 +120,20 @@
         return True
 
     def connection_to_evict(self) -> Connection | None:
-        """Return the connection that is of least use, if one may be evicted."""
+        """Return the first connection in eviction order that may be evicted, if any."""
         now = self.loop.now()
         for state in EVICTION_ORDER:
-            grace = EVICTION_GRACE[state]
+            grace_ns = EVICTION_GRACE_NS[state]
             unread_allowed = state in EVICTED_WITH_UNREAD_BYTES
             for connection, entry in self.clients.items():
-                if entry.state is not state or now - entry.since < grace:
+                if entry.state is not state or now - entry.since < grace_ns:
                     continue
                 if unread_allowed or connection.is_idle():
                     return connection
         return None
 
     def set_state(self, connection: Connection, state: ClientState) -> None:
-        """Note what a connection is doing from now on."""
+        """Record the new state of a connection."""
         self.clients.pop(connection, None)
         self.clients[connection] = ClientEntry(state, self.loop.now())
 
@@ -144,44 +145,44 @@
     # ------------------------------------------------------------ draining
 
     def start_draining(self) -> None:
-        """Announce in every response that its connection closes; new ones are still accepted."""
+        """Close each connection after its next response; new connections are still accepted."""
         self.draining = True
 
     def ends_connections(self, inbox: Inbox | None) -> bool:
         """Return whether a response that is sent now is the last on its connection.
 
-        A request that was read behind the one it answers needs a response of its own. While
-        draining nothing is read ahead, so that this comes to an end.
+        A pipelined request that has been read ahead still needs a response. While draining, nothing
+        more is read ahead, so that the connection does end.
         """
         return self.draining and (inbox is None or inbox.empty())
 
     def close_idle_connections(self) -> None:
         """Start draining and close connections between requests.
 
-        A new connection is given the time for its first request.
+        A new connection still has its time for a first request.
         """
         self.start_draining()
-        self.shedding = True
+        self.closing_idle = True
         self.interrupt_idle()
 
     def stop_draining(self) -> None:
-        """Keep connections between requests again, as long as new ones are accepted."""
+        """Keep connections open between requests again, unless the listener is closed."""
         if self.listener.open:
             self.draining = False
-            self.shedding = False
+            self.closing_idle = False
 
     def close(self, within: int = 0) -> None:
         """Accept no further connections and close those between requests.
 
-        One that was accepted is given the time for its first request: closed at once, it would be
-        answered by nobody. One that waits to be accepted is accepted as soon as there is capacity,
-        within this time.
+        An accepted connection still has its time for a first request, which would otherwise get no
+        response. Connections in the backlog are accepted as capacity permits, for `within`
+        nanoseconds.
         """
         self.close_idle_connections()
         self.listener.close(within)
 
     def interrupt_idle(self) -> None:
-        """Let the tasks of idle connections look for a request once more, or else end."""
+        """Wake the tasks of idle connections: each checks for a request once more, or ends."""
         idle = [
             connection
             for connection, entry in self.clients.items()
@@ -193,21 +194,19 @@
     # ------------------------------------------------------------ the task of one connection
 
     def serve(self, connection: Connection) -> None:
-        """Serve the requests of a connection, one after the other, until it ends."""
+        """Serve the requests of a connection one after another until it ends."""
         inbox = Inbox()
-        errors = 0  # in a row
+        consecutive_errors = 0
         try:
             while not connection.closed:
                 try:
-                    if not self.serve_request(
-                        connection, inbox, first=not inbox.messages.head_count
-                    ):
+                    if not self.serve_request(connection, inbox, first=not inbox.parser.head_count):
                         break
-                    errors = 0
+                    consecutive_errors = 0
                 except RequestError as error:
-                    if not self.answer_error(connection, inbox, error, errors):
+                    if not self.answer_error(connection, inbox, error, consecutive_errors):
                         break
-                    errors = min(errors + 1, MAX_COUNTED_ERRORS)
+                    consecutive_errors = min(consecutive_errors + 1, MAX_CONSECUTIVE_ERRORS)
         except MalformedMessageError as error:
             self.manager.count("malformed")
             self.send_error(connection, RequestError(error.status, str(error)))
@@ -215,22 +214,28 @@
             self.end(connection)
 
     def answer_error(
-        self, connection: Connection, inbox: Inbox, error: RequestError, errors: int
+        self, connection: Connection, inbox: Inbox, error: RequestError, previous_errors: int
     ) -> bool:
-        """Answer a malformed request after `errors` others; return whether to keep the connection.
+        """Answer a malformed request; return whether to keep the connection.
 
-        A client that sends the same again as soon as it has the response would take many turns of
-        the loop: therefore the response to all but the first is delayed.
+        A client that repeats the request as soon as it has the response would take up many
+        iterations of the event loop: all error responses in a row but the first are delayed.
+
+        Args:
+            connection: The client's connection.
+            inbox: Its unhandled bytes.
+            error: The error to respond with.
+            previous_errors: Malformed requests directly before this one.
         """
-        messages = inbox.messages
+        parser = inbox.parser
         self.manager.count("malformed")
         self.manager.count_frontend_rejection(
-            messages.head.get("x-priority-class") if messages.head else ""
+            parser.head.get("x-priority-class") if parser.head else ""
         )
-        if errors and error.status != TOO_MANY_REQUESTS:
+        if previous_errors and error.status != TOO_MANY_REQUESTS:
             self.set_state(connection, ClientState.REJECTED)
-            self.loop.sleep(min(ERROR_DELAY << (errors - 1), MAX_ERROR_DELAY))
-        close = not messages.head.keeps_alive() or self.draining or bool(messages.buffer)
+            self.loop.sleep(min(ERROR_DELAY_NS << (previous_errors - 1), MAX_ERROR_DELAY_NS))
+        close = not parser.head.keeps_alive() or self.draining or bool(parser.buffer)
         self.send_error(connection, error, close)
         return not close
 
@@ -239,14 +244,15 @@
         headers, body = self.format_error(error.status, str(error), **error.details)
         response = encode_response(error.status, headers + error.headers, body, close)
         with contextlib.suppress(ConnectionClosedError):
-            connection.send(response, ERROR_SEND_TIMEOUT)
+            connection.send(response, ERROR_SEND_TIMEOUT_NS)
 
     def end(self, connection: Connection) -> None:
-        """Close a connection; this alone does it in an orderly way.
+        """Close a connection gracefully.
 
-        Nothing more is sent, and what still arrives is read for a moment, up to a bound: closing
-        over unread bytes would reset a response that is under way. A request that arrives now is
-        not accepted, as the end of the connection tells its client.
+        The sending side is shut down, and what still arrives is read for a limited time and up to a
+        limited size: closing a socket with unread bytes sends a reset, which could discard a
+        response in transit. Requests that arrive now are not accepted; the client learns so from
+        the end of the connection.
         """
         exchange = self.exchanges.pop(connection, None)
         if exchange:
@@ -264,11 +270,11 @@
             connection.close()
 
     def linger(self, connection: Connection) -> None:
-        """Read and discard what arrives after the sending side was shut down."""
-        until = self.loop.now() + LINGER_TIMEOUT
+        """Read and discard bytes that arrive after the sending side was shut down."""
+        deadline = self.loop.now() + LINGER_TIMEOUT_NS
         bytes_left = MAX_LINGER_BYTES
         while bytes_left > 0:
-            time_left = until - self.loop.now()
+            time_left = deadline - self.loop.now()
             if time_left <= 0:
                 return
             try:
@@ -297,27 +303,27 @@
         exchange = accepted.exchange
         exchange.inbox = inbox
         self.exchanges[connection] = exchange
-        self.wait(connection, inbox, accepted)
-        # Where the response did not announce that the connection closes, the next request counts.
+        self.wait_for_response(connection, inbox, accepted)
+        # Unless the response announced that the connection closes, the next request is served.
         return not exchange.close_after and not connection.closed
 
     def read(self, connection: Connection, inbox: Inbox, first: bool) -> ClientRequest | None:
         """Read the next request; None when the connection is to be closed."""
-        messages = inbox.messages
+        parser = inbox.parser
         start = self.loop.now()
-        partial = PartialRequest(inbox.since())
+        partial = PartialRequest(inbox.oldest_received_at())
         parts = inbox.next()
-        waiting = ClientState.SILENT if first else ClientState.IDLE
-        self.set_state(connection, waiting if messages.idle() else ClientState.REQUESTING)
+        waiting_state = ClientState.SILENT if first else ClientState.IDLE
+        self.set_state(connection, waiting_state if parser.idle() else ClientState.REQUESTING)
         while True:
             request = self.assemble(connection, partial, parts)
             if request is not None:
                 return request
-            idle = partial.head is None and messages.idle()
-            if idle and self.shedding and not first and connection.is_idle():
+            idle = partial.head is None and parser.idle()
+            if idle and self.closing_idle and not first and connection.is_idle():
                 self.manager.count("closed-draining")
                 return None
-            # The time of a request that waited for its turn runs from then on.
+            # The time limit of a pipelined request runs from when its turn came.
             since = start if first else max(start, partial.received_at)
             try:
                 data = self.receive(connection, since, idle)
@@ -328,7 +334,7 @@
                 return None
             if not data:
                 self.manager.count("closed-by-client")
-                messages.eof()
+                parser.eof()
                 return None
             if not partial.received_at:
                 partial.received_at = connection.received_at
@@ -338,7 +344,7 @@
     def assemble(
         self, connection: Connection, partial: PartialRequest, parts: list[Head | Body | End]
     ) -> ClientRequest | None:
-        """Add parts to a request; return it once it is complete."""
+        """Add parsed parts to a request; return it once it is complete."""
         for part in parts:
             if isinstance(part, Head):
                 partial.head = part
@@ -351,19 +357,19 @@
         return None
 
     def send_continue(self, connection: Connection, head: Head) -> None:
-        """Ask for the body of a request whose client waits for that (RFC 9110, 10.1.1)."""
+        """Send 100 Continue if the client waits for it before the body (RFC 9110, 10.1.1)."""
         if head.get("expect").lower() == "100-continue":
-            connection.send(CONTINUE, SEND_TIMEOUT)
+            connection.send(CONTINUE_RESPONSE, SEND_TIMEOUT_NS)
 
     def receive(self, connection: Connection, since: int, idle: bool) -> bytes | None:
-        """Return bytes of a request; None if an idle connection's time is over.
+        """Return bytes of a request; None if the connection's idle timeout has expired.
 
         Raises:
-            MalformedMessageError: If the time of a request that has begun is over.
+            MalformedMessageError: If a request that has begun did not become complete in time.
         """
-        timeout = IDLE_TIMEOUT if idle else REQUEST_TIMEOUT
+        timeout_ns = IDLE_TIMEOUT_NS if idle else REQUEST_TIMEOUT_NS
         try:
-            return connection.recv(max(MS, since + timeout - self.loop.now()))
+            return connection.recv(max(MS, since + timeout_ns - self.loop.now()))
         except TimeoutExpired:
             if idle:
                 self.manager.count("closed-idle")
@@ -371,52 +377,58 @@
             self.manager.count("closed-half-request")
             raise MalformedMessageError(408, "the request did not arrive in time") from None
 
-    def wait(self, connection: Connection, inbox: Inbox, accepted: AcceptedRequest) -> None:
-        """Wait until the response is sent; if the client ends its sending, it has gone.
+    def wait_for_response(
+        self, connection: Connection, inbox: Inbox, accepted: AcceptedRequest
+    ) -> None:
+        """Wait until the response is sent, or until the client has ended its sending and thus left.
 
-        Only a bounded part of what follows the request is read: the rest waits in the socket, and
-        holds up its sender.
+        Of what follows the request, only a limited number of bytes is read: TCP flow control holds
+        back the rest.
         """
         exchange = accepted.exchange
-        inbox.look_ahead()
+        inbox.start_read_ahead()
         try:
             while not exchange.finished:
                 try:
-                    self.read_behind(connection, inbox)
+                    self.read_ahead(connection, inbox)
                 except ReadInterrupted:
                     continue
-            if exchange.out:
-                connection.send(exchange.out, SEND_TIMEOUT)
+            if exchange.pending_response:
+                connection.send(exchange.pending_response, SEND_TIMEOUT_NS)
         except ConnectionClosedError:
             connection.close()
             self.manager.client_disconnected(accepted.request)
 
-    def read_behind(self, connection: Connection, inbox: Inbox) -> None:
-        """Read some bytes behind a request that is under way, or wait where that is enough."""
-        if not self.reads_ahead(connection, inbox):
-            connection.wait_for_hang_up(UNREAD_CHECK_INTERVAL)
+    def read_ahead(self, connection: Connection, inbox: Inbox) -> None:
+        """Read bytes that follow the request under way, or only wait if none may be read."""
+        if not self.may_read_ahead(connection, inbox):
+            connection.wait_for_hang_up(UNREAD_CHECK_INTERVAL_NS)
             return
         data = connection.recv()
         if not data:
             raise ConnectionClosedError("the client left")
-        inbox.keep(data, connection.received_at)
+        inbox.buffer_ahead(data, connection.received_at)
 
-    def reads_ahead(self, connection: Connection, inbox: Inbox) -> bool:
-        """Return whether to read on while a request is under way."""
-        if inbox.ahead.malformed or not (inbox.full() or self.draining):
+    def may_read_ahead(self, connection: Connection, inbox: Inbox) -> bool:
+        """Return whether bytes may be read while a request is under way."""
+        if inbox.read_ahead_validator.malformed or not (inbox.full() or self.draining):
             return True
-        # Once so much waited, all of it has to be read: TCP tells the sender of more room only
-        # when the queue is empty.
-        inbox.flooded = inbox.flooded or connection.unread_bytes() >= UNREAD_LIMIT
+        # After such a backlog all of it has to be read: TCP announces a larger window to the
+        # sender only when the receive queue is empty.
+        inbox.flooded = inbox.flooded or connection.unread_bytes() >= FLOOD_THRESHOLD_BYTES
         if not inbox.flooded:
             return False
-        total = sum(exchange.inbox.size() for exchange in self.exchanges.values() if exchange.inbox)
-        return inbox.size() < MAX_FLOODED_READ_AHEAD and total < MAX_READ_AHEAD_TOTAL
+        total_bytes = sum(
+            exchange.inbox.size() for exchange in self.exchanges.values() if exchange.inbox
+        )
+        return (
+            inbox.size() < MAX_FLOODED_READ_AHEAD_BYTES and total_bytes < MAX_TOTAL_READ_AHEAD_BYTES
+        )
 
     def handle_request(
         self, connection: Connection, request: ClientRequest
     ) -> AcceptedRequest | None:
-        """Hand a request to the request manager; None if it was answered here.
+        """Pass a request to the request manager; None if it was answered here.
 
         Raises:
             RequestError: If the request is answered with an error.
--- a/claycross/frontends/chat.py
+++ b/claycross/frontends/chat.py
@@ -1,4 +1,4 @@
-"""The chat frontend: chat completions, and the readiness that the platform asks for."""
+"""The chat frontend: chat completions, and the platform's readiness check."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from ..upstream.interface import UNFORWARDED_HEADERS, OutgoingRequest
 from .base import Frontend
 from .errors import RequestError, plain_text
-from .exchange import SEND_TIMEOUT, AcceptedRequest, ClientRequest, Exchange
+from .exchange import SEND_TIMEOUT_NS, AcceptedRequest, ClientRequest, Exchange
 
-PATH = "/v1/chat/completions"
+CHAT_PATH = "/v1/chat/completions"
 READY_PATH = "/-/ready"
-NUMBER = re.compile(r"[0-9]{1,9}\Z", re.ASCII)
-MAX_KEY_LENGTH = 128  # characters of an id or a key, by which tables are keyed
-KEY_PUNCTUATION = "-_.~:"  # that a request's id may contain, besides letters and digits
+WHOLE_NUMBER = re.compile(r"[0-9]{1,9}\Z", re.ASCII)
+MAX_KEY_LENGTH = 128  # characters of ids and keys, which are used as keys of tables
+KEY_PUNCTUATION = "-_.~:"  # allowed in a request's id besides letters and digits
 
 
 def is_request_id(text: str) -> bool:
-    """Return whether a request's id has the length and the characters that are allowed."""
+    """Return whether a request's id has an allowed length and only allowed characters."""
     return 0 < len(text) <= MAX_KEY_LENGTH and all(
         character.isascii() and (character.isalnum() or character in KEY_PUNCTUATION)
         for character in text
@@ -41,35 +41,35 @@
 
 
 class ChatFrontend(Frontend):
-    """POST /v1/chat/completions, and the readiness that the platform asks for."""
+    """Serves POST /v1/chat/completions and the platform's readiness check."""
 
     def __init__(
         self,
         loop: EventLoop,
         manager: RequestManager,
         listen: Address,
-        limit: int,
+        max_connections: int,
         *,
         ready: Callable[[], bool] = lambda: True,
         inherited_descriptor: int | None = None,
     ):
-        """Listen as Frontend does; `ready` tells whether the gateway is ready for clients."""
-        super().__init__(loop, manager, listen, limit, inherited_descriptor)
+        """Listen like every frontend; `ready` returns whether the gateway is ready for clients."""
+        super().__init__(loop, manager, listen, max_connections, inherited_descriptor)
         self.ready = ready
 
     def handle_request(
         self, connection: Connection, request: ClientRequest
     ) -> AcceptedRequest | None:
-        """Answer a readiness check, or hand a chat request to the request manager."""
+        """Answer a readiness check, or pass a chat request to the request manager."""
         head = request.head
         if request.path == READY_PATH:
             self.answer_readiness(connection, request)
             return None
-        if request.path != PATH:
+        if request.path != CHAT_PATH:
             raise RequestError(404, "no such path")
         if head.method != "POST":
             raise RequestError(405, "POST only", [("Allow", "POST")])
-        arrival = self.arrival(request)
+        arrival = self.parse_arrival(request)
         headers = [
             field for field in head.raw_headers if field[0].lower() not in UNFORWARDED_HEADERS
         ]
@@ -79,25 +79,25 @@
         return AcceptedRequest(accepted, exchange)
 
     def answer_readiness(self, connection: Connection, request: ClientRequest) -> None:
-        """Answer the platform's question whether this gateway is ready for clients."""
+        """Answer the platform's readiness check."""
         if request.head.method != "GET":
             raise RequestError(405, "GET only", [("Allow", "GET")])
         ready = self.ready()
         status = 200 if ready else 503
         headers, body = plain_text(status, "ready" if ready else "not ready")
         close = request.closes or self.draining
-        connection.send(encode_response(status, headers, body, close), SEND_TIMEOUT)
+        connection.send(encode_response(status, headers, body, close), SEND_TIMEOUT_NS)
 
-    def arrival(self, request: ClientRequest) -> RequestArrived:
-        """Validate the headers of a chat request and return what they say."""
+    def parse_arrival(self, request: ClientRequest) -> RequestArrived:
+        """Validate the headers of a chat request and return its description for routing."""
         head = request.head
         key = head.get("x-request-id")
         if not is_request_id(key):
             raise RequestError(400, "X-Request-ID is missing or malformed")
         if self.manager.is_in_flight(key):  # it must not run twice
             raise RequestError(409, "a request with this X-Request-ID is under way")
-        # Every engine would reject a request of an unknown class: rejecting it here keeps
-        # thousands of them from taking the places of valid ones.
+        # Every engine would reject a request of an unknown class: rejected here, thousands of them
+        # don't use up capacity for valid ones.
         class_name = head.get("x-priority-class")
         priority_class = self.manager.settings.classes.get(class_name)
         if priority_class is None:
@@ -108,16 +108,16 @@
             attributes.get(name) or "0" for name in ("prompt_len", "prefix_len", "max_out")
         )
         numbers = (timeout, prompt_length, prefix_length, max_output)
-        if not all(NUMBER.match(text) for text in numbers):
+        if not all(WHOLE_NUMBER.match(text) for text in numbers):
             raise RequestError(400, "X-Timeout-Ms and the lengths in X-Attrs must be whole numbers")
         session = head.get("x-route-key")
         prefix = attributes.get("prefix", "")
         if max(len(session), len(prefix)) > MAX_KEY_LENGTH:
             raise RequestError(400, "X-Route-Key or the prefix in X-Attrs is too long")
-        # The timeout has been running since the client sent the request.
+        # The client's timeout has been running since its request arrived.
         time_left = int(timeout) * MS - (self.loop.now() - request.received_at)
         return RequestArrived(
-            request=0,  # the request manager numbers it
+            request=0,  # the request manager assigns the number
             class_name=class_name,
             time_left=max(0, time_left),
             prompt_tokens=int(prompt_length),
--- a/claycross/frontends/client_state.py
+++ b/claycross/frontends/client_state.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection, and which connections are evicted first."""
+"""The states of a client connection, and the order in which connections are evicted."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ClientState(Enum):
-    """What a client's connection is doing (docs/lifecycles.md)."""
+    """The state of a client connection; docs/lifecycles.md has the transitions."""
 
-    BUSY = auto()  # a request of it is under way
-    REQUESTING = auto()  # a part of a request has arrived
+    BUSY = auto()  # a request is under way
+    REQUESTING = auto()  # part of a request has arrived
     IDLE = auto()  # between two requests
-    SILENT = auto()  # it has not sent anything yet
-    REJECTED = auto()  # its requests were malformed, and the next error response is delayed
-    CLOSING = auto()  # nothing that it sends is accepted any more
+    SILENT = auto()  # nothing has been received yet
+    REJECTED = auto()  # requests were malformed, and an error response is being delayed
+    CLOSING = auto()  # no further requests are accepted
 
 
 class ClientEntry(NamedTuple):
@@ -26,8 +26,8 @@
     since: int
 
 
-# When there are too many connections, those in the first of these states are evicted first. One
-# that is busy is never evicted.
+# At the limit on connections, those in the first of these states are evicted first. BUSY
+# connections are never evicted.
 EVICTION_ORDER = (
     ClientState.CLOSING,
     ClientState.REJECTED,
@@ -35,13 +35,13 @@
     ClientState.IDLE,
     ClientState.REQUESTING,
 )
-# How long a connection must have been in a state before it may be evicted.
-EVICTION_GRACE = {
+# Time for which a connection must have been in a state before it may be evicted.
+EVICTION_GRACE_NS = {
     ClientState.REQUESTING: 500 * MS,
     ClientState.IDLE: 0,
     ClientState.SILENT: 100 * MS,
     ClientState.REJECTED: 0,
     ClientState.CLOSING: 0,
 }
-# These are evicted also while bytes of theirs wait to be read.
+# Connections in these states may be evicted even with unread bytes.
 EVICTED_WITH_UNREAD_BYTES = frozenset((ClientState.REJECTED, ClientState.CLOSING))
--- a/claycross/frontends/embeddings.py
+++ b/claycross/frontends/embeddings.py
@@ -1,6 +1,6 @@
-"""The embeddings frontend: the public API of embeddings and rerank.
+"""The embeddings frontend: the public API for embeddings and rerank.
 
-Its tasks run in the background, so that they take no turn of the loop from chat.
+Its tasks run at background priority, so that chat tasks go first in each event loop iteration.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from .errors import ErrorContent, RequestError, json_error
 from .exchange import AcceptedRequest, ClientRequest, Exchange, ExchangeOwner
 
-# Headers that are not forwarded: a tenant's key is no concern of an engine's.
-PRIVATE_HEADERS = {"x-request-id", "authorization"}
-DEADLINE_MARGIN = 20 * MS  # a failure so close to the deadline is reported as a timeout
+# Headers that are not forwarded: engines must not see a tenant's key, and get an id of their own.
+WITHHELD_HEADERS = {"x-request-id", "authorization"}
+DEADLINE_MARGIN_NS = 20 * MS  # a failure this close to the deadline is reported as a timeout
 MAX_TIMEOUT_DIGITS = 9
 
 
 class ApiEndpoint(NamedTuple):
     """One path of the API."""
 
-    class_name: str  # of its requests, in the settings
+    class_name: str  # request class in the settings
     read: Callable[[dict[str, Any]], ApiRequest]
 
 
@@ -39,33 +39,33 @@
 
 
 class BufferedExchange(Exchange):
-    """A request whose response is sent in one piece or not at all."""
+    """An exchange whose response is sent as one piece or not at all."""
 
     def __init__(self, frontend: ExchangeOwner, connection: Connection, close: bool, deadline: int):
         super().__init__(frontend, connection, close)
         self.deadline = deadline
 
     def write(self, data: bytes) -> None:
-        """Take the complete response."""
+        """Store the complete response, to be sent on finish()."""
         headers = [("Content-Type", "application/json")]
-        self.out = encode_response(200, headers, data, self.closing())
+        self.pending_response = encode_response(200, headers, data, self.decide_closing())
 
-    def finish(self, whole: bool) -> None:
+    def finish(self, complete: bool) -> None:
         """Send the response, or an error if it is not complete."""
-        if whole:
+        if complete:
             self.close_exchange()
         else:
             self.fail()
 
-    def reject(self, hold_off: int) -> None:
-        """Respond that the request may be sent again, unless its time is over."""
+    def reject(self, retry_after: int) -> None:
+        """Respond that the request may be sent again, or that its time is over."""
         if self.is_late():
             self.fail()
             return
         headers, body = json_error(
             503, "no server can take this now; it may be sent again", code="overloaded"
         )
-        seconds = max(1, -(-hold_off // SECOND))  # rounded up
+        seconds = max(1, -(-retry_after // SECOND))  # rounded up
         self.respond(503, [*headers, ("Retry-After", str(seconds))], body)
 
     def fail(self) -> None:
@@ -81,12 +81,12 @@
         self.respond(status, headers, body)
 
     def is_late(self) -> bool:
-        """Return whether the request's time is over."""
+        """Return whether the request's deadline has passed."""
         return self.frontend.loop.now() >= self.deadline
 
 
 class EmbeddingsFrontend(Frontend):
-    """POST /v1/embeddings and POST /v1/rerank."""
+    """Serves POST /v1/embeddings and POST /v1/rerank."""
 
     background = True
 
@@ -110,7 +110,7 @@
     def handle_request(
         self, connection: Connection, request: ClientRequest
     ) -> AcceptedRequest | None:
-        """Validate a request and hand it to the request manager."""
+        """Validate a request and pass it to the request manager."""
         head = request.head
         endpoint = ENDPOINTS.get(request.path)
         if endpoint is None:
@@ -122,11 +122,11 @@
         self.check_capacity()
         timeout = self.timeout_of(head, endpoint.class_name)
         time_left = timeout - (self.loop.now() - request.received_at)
-        deadline = self.loop.now() + time_left - DEADLINE_MARGIN
+        deadline = self.loop.now() + time_left - DEADLINE_MARGIN_NS
         exchange = BufferedExchange(self, connection, request.closes, deadline)
         key = f"{self.config.seed:x}-{self.manager.last_number + 1}"
         arrival = RequestArrived(
-            request=0,  # the request manager numbers it
+            request=0,  # the request manager assigns the number
             class_name=endpoint.class_name,
             time_left=max(0, time_left),
             prompt_tokens=api_request.tokens,
@@ -136,7 +136,7 @@
         return AcceptedRequest(self.manager.accept(arrival, key, payload, exchange), exchange)
 
     def check_capacity(self) -> None:
-        """Reject a request beyond the bound on open ones, which protects chat against a flood."""
+        """Reject a request beyond the limit on open ones, which protects chat from overload."""
         if len(self.manager.requests) >= self.config.max_requests:
             self.manager.count("over-bound")
             raise RequestError(
@@ -147,7 +147,7 @@
         self, request: ClientRequest, key: str, api_request: ApiRequest
     ) -> OutgoingRequest:
         """Return the request as it is forwarded to an engine."""
-        dropped = UNFORWARDED_HEADERS | PRIVATE_HEADERS
+        dropped = UNFORWARDED_HEADERS | WITHHELD_HEADERS
         headers = [field for field in request.head.raw_headers if field[0].lower() not in dropped]
         return OutgoingRequest(
             request.head.method,
@@ -161,9 +161,9 @@
         )
 
     def timeout_of(self, head: Head, class_name: str) -> int:
-        """Return a request's timeout: its own, up to that of its class."""
-        longest: int = self.manager.settings.classes[class_name].timeout
-        text = head.get("x-timeout-ms") or str(longest // MS)
+        """Return a request's timeout: the one that it asks for, at most that of its class."""
+        max_timeout_ns: int = self.manager.settings.classes[class_name].timeout
+        text = head.get("x-timeout-ms") or str(max_timeout_ns // MS)
         if not text.isdigit() or len(text) > MAX_TIMEOUT_DIGITS:
             raise RequestError(400, "X-Timeout-Ms must be a whole number")
-        return min(int(text) * MS, longest)
+        return min(int(text) * MS, max_timeout_ns)
--- a/claycross/frontends/embeddings_api.py
+++ b/claycross/frontends/embeddings_api.py
@@ -1,6 +1,6 @@
-"""The bodies of the embeddings and rerank API: what a valid request asks for, and how large it is.
+"""Validation of request and response bodies of the embeddings and rerank API.
 
-No I/O: a body comes in as parsed JSON, a response as bytes.
+The module does no I/O: it gets request bodies as parsed JSON and responses as bytes.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 from .errors import RequestError
 
-# The index of one entry of a response. A text that contains this has its quotes escaped.
-INDEX = re.compile(rb'"index"\s*:\s*(\d{1,9})')
-CHARACTERS_PER_TOKEN = 4  # roughly
-MAX_TEXTS = 2048  # in one request
+# The index of one entry of a response. It can't match inside a string, where quotes are escaped.
+INDEX_FIELD = re.compile(rb'"index"\s*:\s*(\d{1,9})')
+CHARACTERS_PER_TOKEN = 4  # an estimate
+MAX_TEXTS = 2048  # per request
 
 
 class ApiRequest(NamedTuple):
-    """What a valid request asks for."""
+    """The size of a valid request, and the check of its response."""
 
-    tokens: int  # its size
+    tokens: int  # estimated size
     is_complete: Callable[[bytes], bool]  # whether a response to it is complete
 
 
@@ -45,32 +45,32 @@
         raise RequestError(400, f"input holds more than {MAX_TEXTS} texts", param="input")
 
     def is_complete(data: bytes) -> bool:
-        return indices(data) == list(range(count))
+        return response_indices(data) == list(range(count))
 
     return ApiRequest(count_tokens(body["input"]), is_complete)
 
 
 def count_texts(body: dict[str, Any]) -> int:
-    """Return how many embeddings are asked for.
+    """Return the number of embeddings requested.
 
     Raises:
-        RequestError: If `input` has none of the shapes of the API.
+        RequestError: If `input` has none of the forms that the API allows.
     """
-    given = body.get("input")
-    if isinstance(given, str) and given:
+    input_value = body.get("input")
+    if isinstance(input_value, str) and input_value:
         return 1
-    if isinstance(given, list) and given:
-        if all(isinstance(token, int) and not isinstance(token, bool) for token in given):
-            return 1  # one text as tokens
-        if all(isinstance(text, str) and text for text in given):
-            return len(given)
-        if all(is_token_list(text) for text in given):
-            return len(given)
+    if isinstance(input_value, list) and input_value:
+        if all(isinstance(token, int) and not isinstance(token, bool) for token in input_value):
+            return 1  # one text in tokens
+        if all(isinstance(text, str) and text for text in input_value):
+            return len(input_value)
+        if all(is_token_list(text) for text in input_value):
+            return len(input_value)
     raise RequestError(400, "input must be a text, an array of texts, or tokens", param="input")
 
 
 def is_token_list(value: Any) -> bool:
-    """Return whether this is one text as tokens."""
+    """Return whether a value is one text in tokens."""
     return isinstance(value, list) and bool(value) and all(type(token) is int for token in value)
 
 
@@ -86,10 +86,10 @@
 
 
 def read_rerank(body: dict[str, Any]) -> ApiRequest:
-    """Validate a request to rank documents."""
+    """Validate a rerank request."""
     query = body.get("query")
     documents = body.get("documents")
-    top = body.get("top_n")
+    top_n = body.get("top_n")
     if not isinstance(query, str) or not query:
         raise RequestError(400, "query must be a text", param="query")
     if (
@@ -100,32 +100,36 @@
         raise RequestError(
             400, f"documents must be an array of 1 to {MAX_TEXTS} texts", param="documents"
         )
-    if top is not None and (type(top) is not int or top < 1):
+    if top_n is not None and (type(top_n) is not int or top_n < 1):
         raise RequestError(400, "top_n must be a whole number over 0", param="top_n")
     document_count = len(documents)
-    wanted = min(top or document_count, document_count)
+    expected_count = min(top_n or document_count, document_count)
 
     def is_complete(data: bytes) -> bool:
-        found = indices(data)
-        return len(found) == len(set(found)) == wanted and found[-1] < document_count
+        entry_indices = response_indices(data)
+        return (
+            len(entry_indices) == len(set(entry_indices)) == expected_count
+            and entry_indices[-1] < document_count
+        )
 
-    # The query is read again with each document.
+    # The model reads the query once with each document.
     tokens = count_tokens(documents) + document_count * count_tokens(query)
     return ApiRequest(tokens, is_complete)
 
 
 def is_document(value: Any) -> bool:
-    """Return whether this is a document: a text, or an object with a text."""
+    """Return whether a value is a document: a text, or an object with a text."""
     text = value.get("text") if isinstance(value, dict) else value
     return isinstance(text, str)
 
 
-def indices(data: bytes) -> list[int]:
-    """Return the sorted indices of the entries of a response; none if it is not a whole object.
+def response_indices(data: bytes) -> list[int]:
+    """Return the sorted indices of a response's entries; none if it is not a whole JSON object.
 
-    Parsing a megabyte of JSON would hold up chat for milliseconds; this does not.
+    Parsing a megabyte of JSON would block the event loop, and thus chat, for milliseconds;
+    a regular expression does not.
     """
     text = data.strip()
     if not (text.startswith(b"{") and text.endswith(b"}")):
         return []
-    return sorted(map(int, INDEX.findall(text)))
+    return sorted(map(int, INDEX_FIELD.findall(text)))
--- a/claycross/frontends/errors.py
+++ b/claycross/frontends/errors.py
@@ -1,4 +1,4 @@
-"""Errors that a frontend answers itself, and how their responses read."""
+"""Errors that a frontend answers itself, and the formats of their responses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RequestError(Exception):
-    """A request that is answered with an error before it reaches the request manager."""
+    """A request is answered with an error before it reaches the request manager."""
 
     def __init__(self, status: int, message: str, headers: Headers | None = None, **details: str):
         super().__init__(message)
@@ -29,7 +29,7 @@
         self.details = details
 
 
-def plain_text(status: int, message: str, **_: str) -> ErrorContent:
+def plain_text(_status: int, message: str, **_: str) -> ErrorContent:
     """Return an error's headers and body as plain text."""
     return [("Content-Type", "text/plain; charset=utf-8")], message.encode() + b"\n"
 
@@ -37,8 +37,8 @@
 def json_error(
     status: int, message: str, param: str | None = None, code: str | None = None
 ) -> ErrorContent:
-    """Return an error's headers and body as the embeddings API has them."""
-    default = "invalid_request_error" if status < FIRST_SERVER_ERROR else "server_error"
-    kind = JSON_ERROR_TYPES.get(status, default)
-    body = {"error": {"message": message, "type": kind, "param": param, "code": code}}
+    """Return an error's headers and body in the JSON format of the embeddings API."""
+    default_type = "invalid_request_error" if status < FIRST_SERVER_ERROR else "server_error"
+    error_type = JSON_ERROR_TYPES.get(status, default_type)
+    body = {"error": {"message": message, "type": error_type, "param": param, "code": code}}
     return [("Content-Type", "application/json")], json.dumps(body).encode() + b"\n"
--- a/claycross/frontends/exchange.py
+++ b/claycross/frontends/exchange.py
@@ -1,4 +1,4 @@
-"""One request on a client's connection and its response."""
+"""A request on a client connection, and the exchange that sends its response."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .errors import ErrorContent, Headers
 from .inbox import Inbox
 
-SEND_TIMEOUT = 20 * SECOND  # a client that takes nothing for so long is regarded as gone
+SEND_TIMEOUT_NS = 20 * SECOND  # a client that takes no bytes for so long counts as gone
 
 
 @dataclass(slots=True)
@@ -29,21 +29,21 @@
 
     @property
     def closes(self) -> bool:
-        """Whether the client wants the connection to be closed after the response."""
+        """Whether the client asked for the connection to be closed after the response."""
         return not self.head.keeps_alive()
 
 
 @dataclass(slots=True)
 class PartialRequest:
-    """What has arrived so far of a request."""
+    """The part of a request that has arrived so far."""
 
-    received_at: int  # when its first byte was received; 0: none has been
+    received_at: int  # when its first byte was received; 0 before that
     head: Head | None = None
     body: list[bytes] = field(default_factory=list)
 
 
 class ExchangeOwner(Protocol):
-    """What an exchange needs of its frontend."""
+    """The interface through which an exchange uses its frontend."""
 
     loop: EventLoop
 
@@ -57,16 +57,16 @@
 
 
 class Exchange:
-    """One request on a client's connection, with the calls by which it is answered."""
+    """One request on a client connection; its methods send the response."""
 
     def __init__(self, frontend: ExchangeOwner, connection: Connection, close: bool):
         self.frontend = frontend
         self.connection = connection
         self.close_after = close
-        self.out = b""  # a response that is sent as a whole, by the connection's own task
+        self.pending_response = b""  # a complete response, sent by the connection's task
         self.finished = False
         self.streaming = False
-        self.inbox: Inbox | None = None  # what follows the request
+        self.inbox: Inbox | None = None  # bytes that follow the request
 
     def write(self, data: bytes) -> None:
         """Send the next part of a streamed response."""
@@ -74,12 +74,12 @@
         if not self.streaming:
             self.streaming = True
             headers = [("Content-Type", "text/event-stream"), ("Cache-Control", "no-store")]
-            chunk = encode_response(200, headers, None, self.closing()) + chunk
+            chunk = encode_response(200, headers, None, self.decide_closing()) + chunk
         self.send_bytes(chunk)
 
-    def finish(self, whole: bool) -> None:
-        """End a streamed response; a client learns from a missing last chunk that it broke."""
-        if whole:
+    def finish(self, complete: bool) -> None:
+        """End a streamed response; without a last chunk the client learns that it is incomplete."""
+        if complete:
             self.send_bytes(LAST_CHUNK)
         else:
             self.close_after = True
@@ -88,15 +88,15 @@
     def send_bytes(self, data: bytes) -> None:
         """Send bytes of a streamed response."""
         try:
-            self.connection.send(data, SEND_TIMEOUT)
+            self.connection.send(data, SEND_TIMEOUT_NS)
         except ConnectionClosedError:
-            # This wakes the task that reads from it, which informs the request manager.
+            # This wakes the connection's reading task, which informs the request manager.
             self.connection.close()
 
-    def reject(self, hold_off: int) -> None:
-        """Respond that the request may be sent again after `hold_off`."""
+    def reject(self, retry_after: int) -> None:
+        """Respond that the request may be sent again after `retry_after` nanoseconds."""
         headers, body = self.frontend.format_error(503, "refused: it may be sent again")
-        headers.append(("Retry-After", f"{hold_off / SECOND:.3f}"))
+        headers.append(("Retry-After", f"{retry_after / SECOND:.3f}"))
         self.respond(503, headers, body)
 
     def fail(self) -> None:
@@ -105,21 +105,21 @@
         self.respond(502, headers, body)
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """End the exchange with a response that is sent as a whole."""
-        self.out = encode_response(status, headers, body, self.closing())
+        """End the exchange with a complete response."""
+        self.pending_response = encode_response(status, headers, body, self.decide_closing())
         self.close_exchange()
 
     def client_disconnected(self) -> bool:
-        """Return whether the client has ended its sending, be that read or not."""
+        """Return whether the client has ended its sending, even behind unread bytes."""
         return self.connection.peer_closed()
 
-    def closing(self) -> bool:
-        """Decide whether the connection is closed after the response."""
+    def decide_closing(self) -> bool:
+        """Decide and return whether the connection is closed after the response."""
         self.close_after = self.close_after or self.frontend.ends_connections(self.inbox)
         return self.close_after
 
     def close_exchange(self) -> None:
-        """Let the connection's task go on after the response."""
+        """Mark the exchange as finished and wake the connection's task."""
         self.finished = True
         self.connection.interrupt()
 
--- a/claycross/frontends/inbox.py
+++ b/claycross/frontends/inbox.py
@@ -1,57 +1,57 @@
-"""What a client has sent on its connection and has not been handled yet."""
+"""Received bytes of a client connection that have not been handled yet."""
 
 from __future__ import annotations
 
 from ..net.http1 import Body, End, Head, MessageParser, PipelineValidator
 from ..net.receive_timestamps import ReceiveTimestamps
 
-MAX_READ_AHEAD = 65_536  # bytes read behind a request that is under way; more waits in the socket
+MAX_READ_AHEAD_BYTES = 65_536  # behind a request under way; more stays in the socket
 
 
 class Inbox:
-    """The messages on a client's connection, and since when the unconsumed bytes have waited."""
+    """The unhandled bytes of a client connection, with their receive times and their parser."""
 
     def __init__(self) -> None:
-        self.messages = MessageParser()
-        self.times = ReceiveTimestamps()
-        self.ahead = PipelineValidator()
-        self.flooded = False  # much waited unread in the socket behind the request under way
-
-    def look_ahead(self) -> None:
-        """Keep what arrives from now on for later, and validate it from the next request on."""
-        self.ahead = PipelineValidator()
+        self.parser = MessageParser()
+        self.receive_times = ReceiveTimestamps()
+        self.read_ahead_validator = PipelineValidator()
+        self.flooded = False  # many bytes waited unread behind the request under way
+
+    def start_read_ahead(self) -> None:
+        """Start reading ahead: validate buffered and later bytes without consuming them."""
+        self.read_ahead_validator = PipelineValidator()
         self.flooded = False
-        self.ahead.feed(self.messages.buffer)
+        self.read_ahead_validator.feed(self.parser.buffer)
 
     def next(self) -> list[Head | Body | End]:
-        """Return the parts of the next message that are here already."""
-        return self.messages.next()
+        """Return the parts of the next message that are already buffered."""
+        return self.parser.next()
 
     def feed(self, data: bytes, received_at: int) -> list[Head | Body | End]:
-        """Add bytes to the current message and return its parts that have become complete."""
-        self.times.add(len(data), received_at)
-        return self.messages.feed(data)
+        """Add bytes to the current message; return its parts that are now complete."""
+        self.receive_times.add(len(data), received_at)
+        return self.parser.feed(data)
 
-    def keep(self, data: bytes, received_at: int) -> None:
-        """Keep bytes of later messages; what follows malformed bytes is dropped."""
-        if self.ahead.malformed:
+    def buffer_ahead(self, data: bytes, received_at: int) -> None:
+        """Buffer bytes of later messages; those after malformed bytes are discarded."""
+        if self.read_ahead_validator.malformed:
             return
-        self.times.add(len(data), received_at)
-        self.messages.buffer += data
-        self.ahead.feed(data)
+        self.receive_times.add(len(data), received_at)
+        self.parser.buffer += data
+        self.read_ahead_validator.feed(data)
 
     def empty(self) -> bool:
-        """Return whether no bytes wait for their turn."""
-        return not self.messages.buffer
+        """Return whether no bytes are buffered."""
+        return not self.parser.buffer
 
     def full(self) -> bool:
-        """Return whether no more is to be read ahead, unless much waits unread."""
-        return self.size() >= MAX_READ_AHEAD and not self.ahead.malformed
+        """Return whether the read-ahead limit is reached; it ends with malformed bytes."""
+        return self.size() >= MAX_READ_AHEAD_BYTES and not self.read_ahead_validator.malformed
 
     def size(self) -> int:
-        """Return how many bytes wait for their turn."""
-        return len(self.messages.buffer)
+        """Return the number of buffered bytes."""
+        return len(self.parser.buffer)
 
-    def since(self) -> int:
-        """Return when the first of the waiting bytes was received; 0 if there are none."""
-        return self.times.oldest(len(self.messages.buffer))
+    def oldest_received_at(self) -> int:
+        """Return when the first buffered byte was received; 0 if there is none."""
+        return self.receive_times.oldest(len(self.parser.buffer))
--- a/claycross/frontends/metrics.py
+++ b/claycross/frontends/metrics.py
@@ -1,7 +1,7 @@
 """The gateway's metrics in the Prometheus text format, for the admin socket.
 
-Defines the name, labels and help of each metric; the gateway's parts do the counting. It is
-imported only where there is an admin socket: the Prometheus client library adds 45 ms to the start.
+Defines the name, labels and help text of each metric; other modules do the counting. It is imported
+only if there is an admin socket: the Prometheus client library adds 45 ms to the start.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from prometheus_client.core import CollectorRegistry, GaugeMetricFamily, Metric
 from prometheus_client.exposition import generate_latest
 
-MEMBERSHIP_PREFIX = "members_"  # of the names of counts of gateways by state
-# Help texts of the metrics of membership that are not plain counts of gateways.
+MEMBERSHIP_PREFIX = "members_"  # of the names of member counts by state
+# Help texts of the membership metrics that are not counts of gateways by state.
 MEMBERSHIP_HELP = {
     "members_cut": "Whether this gateway is cut off: 0 no, 1 from all other zones, 2 from "
     "everybody."
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class MetricsSnapshot:
-    """The values of all metrics at one moment, as the gateway's parts count them."""
+    """The values of all metrics at one moment."""
 
     # (class, status) -> requests ended since the start
     replies: dict[tuple[str, str], int] = field(default_factory=dict)
@@ -33,17 +33,17 @@
     avoided: int = 0  # listed engines that the gateway itself avoids, and that are not disabled
     draining: int = 0  # listed engines that discovery reports as draining
     started: float = 0.0  # Unix time of the process's start, in seconds
-    # Further counts, named by the part that keeps them.
+    # Further counters, named by the modules that keep them.
     more: dict[str, int] = field(default_factory=dict)
-    # The other gateways, as this one sees them.
+    # The other gateways by their state as seen by this one, and counts of membership messages.
     members: dict[str, int] = field(default_factory=dict)
 
 
 class Metrics:
-    """A Prometheus collector that takes a new snapshot for each exposition."""
+    """A Prometheus collector that takes a new snapshot at each collection."""
 
-    def __init__(self, read: Callable[[], MetricsSnapshot]):
-        self.read = read
+    def __init__(self, take_snapshot: Callable[[], MetricsSnapshot]):
+        self.take_snapshot = take_snapshot
         self.registry = CollectorRegistry(auto_describe=False)
         self.registry.register(self)
 
@@ -52,8 +52,8 @@
         return generate_latest(self.registry).decode().splitlines()
 
     def collect(self) -> Iterator[Metric]:
-        """Return the metrics of a new snapshot, as the client library asks for them."""
-        snapshot = self.read()
+        """Return the metrics of a new snapshot; the client library calls this."""
+        snapshot = self.take_snapshot()
         yield replies(snapshot)
         yield counter(
             "gateway_dispatches",
@@ -91,7 +91,7 @@
 
 
 def avoided_targets(snapshot: MetricsSnapshot) -> Metric:
-    """Return the gauge of engines that get no requests, by reason."""
+    """Return the gauge of engines that get no requests, labelled with the reason."""
     metric = GaugeMetricFamily(
         "gateway_targets_avoided", "Listed engines avoided, by why.", labels=["why"]
     )
@@ -105,29 +105,29 @@
     """Return the gauges of the other gateways, by their state."""
     for name, count in sorted(snapshot.members.items()):
         if name.startswith(MEMBERSHIP_PREFIX):
-            text = MEMBERSHIP_HELP.get(name, "Gateways in this state, as this one sees them.")
-            yield gauge(f"gateway_{name}", text, count)
+            help_text = MEMBERSHIP_HELP.get(name, "Gateways in this state, as this one sees them.")
+            yield gauge(f"gateway_{name}", help_text, count)
 
 
 def further_counters(snapshot: MetricsSnapshot) -> Iterator[Metric]:
-    """Return the counters that the gateway's parts name themselves."""
-    messages = {
+    """Return the counters that other modules name themselves."""
+    membership_counts = {
         name: count
         for name, count in snapshot.members.items()
         if not name.startswith(MEMBERSHIP_PREFIX)
     }
-    for name, count in sorted((snapshot.more | messages).items()):
-        text = f"Count of {name.replace('_', ' ')}, since the start."
-        yield counter(f"gateway_{name}", text, count)
+    for name, count in sorted((snapshot.more | membership_counts).items()):
+        help_text = f"Count of {name.replace('_', ' ')}, since the start."
+        yield counter(f"gateway_{name}", help_text, count)
 
 
-def counter(name: str, text: str, value: int) -> Metric:
-    """Return a counter whose sample has its name as documented, without `_total`."""
-    metric = Metric(name, text, "counter")
+def counter(name: str, help_text: str, value: int) -> Metric:
+    """Return a counter whose sample name has no `_total` suffix, as documented."""
+    metric = Metric(name, help_text, "counter")
     metric.add_sample(name, {}, value)
     return metric
 
 
-def gauge(name: str, text: str, value: float) -> GaugeMetricFamily:
+def gauge(name: str, help_text: str, value: float) -> GaugeMetricFamily:
     """Return a gauge without labels."""
-    return GaugeMetricFamily(name, text, value=value)
+    return GaugeMetricFamily(name, help_text, value=value)
--- a/claycross/frontends/tenants.py
+++ b/claycross/frontends/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of the embeddings frontend: their keys, kept as digests only, and their quotas."""
+"""The tenants of the embeddings frontend: their quotas and the digests of their API keys."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 
 def digest(key: str) -> str:
-    """Return the digest of a key, which is kept in place of the key."""
+    """Return the digest of a key; keys themselves are not stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def bearer(head: Head) -> str:
-    """Return the key that a request carries as a bearer token; empty if there is none."""
+def bearer_token(head: Head) -> str:
+    """Return the bearer token of a request; empty if it has none."""
     scheme, _, key = head.get("authorization").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
 class Tenants:
-    """The tenants by the digest of their key, with their quotas.
+    """The tenants, their quotas and the digests of their keys.
 
-    The quotas are the routing module's own table, which is changed in place.
+    The table of quotas is shared with the routing module and is changed in place.
     """
 
-    def __init__(self, path: str, specs: dict[str, TenantQuota]):
+    def __init__(self, path: str, quotas: dict[str, TenantQuota]):
         """Load the tenants' file, if there is one.
 
         Raises:
             ConfigurationError: If the file can't be read or is not valid.
         """
         self.path = path
-        self.specs = specs
-        self.digests: dict[str, str] = {}  # of a key -> its tenant
+        self.quotas = quotas
+        self.names_by_digest: dict[str, str] = {}  # digest of a key -> its tenant
         try:
             with open(path, encoding="utf-8") as file:
                 for name, entry in json.load(file).items():
@@ -50,25 +50,27 @@
 
     def put(self, name: str, quota: float, key_digest: str) -> None:
         """Add a tenant, or replace its quota and key."""
-        self._drop_key(name)
-        self.digests[key_digest] = name
-        self.specs[name] = TenantQuota(name, quota)
+        self._remove_key(name)
+        self.names_by_digest[key_digest] = name
+        self.quotas[name] = TenantQuota(name, quota)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a tenant."""
-        self._drop_key(name)
-        self.specs.pop(name, None)
+        self._remove_key(name)
+        self.quotas.pop(name, None)
 
-    def _drop_key(self, name: str) -> None:
-        self.digests = {key: tenant for key, tenant in self.digests.items() if tenant != name}
+    def _remove_key(self, name: str) -> None:
+        self.names_by_digest = {
+            key: tenant for key, tenant in self.names_by_digest.items() if tenant != name
+        }
 
     def named(self, head: Head) -> str:
-        """Return the tenant whose key a request carries.
+        """Return the tenant whose key a request has.
 
         Raises:
-            RequestError: If it carries none, or one that no tenant has.
+            RequestError: If the request has no key, or one of no tenant.
         """
-        name = self.digests.get(digest(bearer(head)))
+        name = self.names_by_digest.get(digest(bearer_token(head)))
         if name is None:
             raise RequestError(
                 401,
@@ -79,26 +81,26 @@
         return name
 
     def owner_of(self, key_digest: str) -> str | None:
-        """Return the tenant that has this key."""
-        return self.digests.get(key_digest)
+        """Return the tenant with this key, if any."""
+        return self.names_by_digest.get(key_digest)
 
     def key_digest_of(self, name: str) -> str:
         """Return the digest of a tenant's key."""
-        return next(key for key, tenant in self.digests.items() if tenant == name)
+        return next(key for key, tenant in self.names_by_digest.items() if tenant == name)
 
     def show(self, name: str) -> dict[str, Any]:
-        """Return what the API shows of a tenant; never its key."""
-        return {"name": name, "quota_per_s": self.specs[name].quota_per_s}
+        """Return a tenant as the API shows it, without its key."""
+        return {"name": name, "quota_per_s": self.quotas[name].quota_per_s}
 
     def save(self) -> None:
-        """Replace the file as a whole.
+        """Replace the file atomically.
 
-        One that a crash had cut off would lock every tenant out at the next start.
+        A file truncated by a crash would lock all tenants out from the next start on.
         """
-        digest_by_name = {tenant: key for key, tenant in self.digests.items()}
+        digests_by_name = {tenant: key for key, tenant in self.names_by_digest.items()}
         entries = {
-            name: {"quota_per_s": quota.quota_per_s, "key_sha256": digest_by_name[name]}
-            for name, quota in self.specs.items()
+            name: {"quota_per_s": quota.quota_per_s, "key_sha256": digests_by_name[name]}
+            for name, quota in self.quotas.items()
         }
         with open(f"{self.path}.new", "w", encoding="utf-8") as file:
             json.dump(entries, file, indent=1)
