--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings whose words this version does not know: the gateway starts, and nothing runs twice."""
+"""Settings with values unknown to this version: the gateway starts, and nothing runs twice."""
 
 import json
 
@@ -31,8 +31,8 @@
     ],
 )
 def test_an_unknown_effect_or_scope_means_that_nothing_may_run_twice(category, effect, scope):
-    found = settings_with(category).classes["ask"]
-    assert (found.effect, found.deduplication_scope) == (effect, scope)
+    request_class = settings_with(category).classes["ask"]
+    assert (request_class.effect, request_class.deduplication_scope) == (effect, scope)
 
 
 def test_engines_of_an_unknown_role_are_not_used():
--- a/tests/frontends/test_admin_api.py
+++ b/tests/frontends/test_admin_api.py
@@ -1,5 +1,4 @@
-"""Tenants, the administration API and etcd as a source of the list: off unless their files are
-named."""
+"""Tenants, the administration API and etcd as source of the endpoint list, all optional."""
 
 import base64
 import contextlib
@@ -27,12 +26,12 @@
 EMBED = ("/v1/embeddings", {"model": "e", "input": "tense drums"})
 
 
-def b64(text):
+def base64_text(text):
     return base64.b64encode(text.encode()).decode()
 
 
 class Etcd(Server):
-    """etcd's JSON gateway as its public reference has it: a range, and a watch that stays open."""
+    """A stand-in for etcd's JSON gateway: a range call, and a watch that stays open."""
 
     prefix = "/claycross/engines/"
 
@@ -42,17 +41,21 @@
 
     def talk(self, wire):
         message = read_message(wire.file)
-        asked = json.loads(message.body)
+        request = json.loads(message.body)
         if message.start.split()[1] == "/v3/kv/range":
-            assert base64.b64decode(asked["range_end"]) == b"/claycross/engines0"
-            kvs = [{"key": b64(k), "value": b64(v)} for k, v in self.kvs.items()]
-            return wire.reply(
-                200,
-                body=json.dumps(
-                    {"header": {"revision": str(self.revision)}, "kvs": kvs, "count": str(len(kvs))}
-                ).encode(),
-            )
-        self.starts.append(int(asked["create_request"]["start_revision"]))
+            assert base64.b64decode(request["range_end"]) == b"/claycross/engines0"
+            kvs = [
+                {"key": base64_text(key), "value": base64_text(value)}
+                for key, value in self.kvs.items()
+            ]
+            response = {
+                "header": {"revision": str(self.revision)},
+                "kvs": kvs,
+                "count": str(len(kvs)),
+            }
+            wire.reply(200, body=json.dumps(response).encode())
+            return
+        self.starts.append(int(request["create_request"]["start_revision"]))
         wire.begin()
         self.say(wire, {"created": True})
         self.watches.append(wire)
@@ -65,7 +68,8 @@
 
     def put(self, engine, state="Ready"):
         self.change(
-            engine, json.dumps({k: v for k, v in engine.target(state).items() if k != "uid"})
+            engine,
+            json.dumps({key: value for key, value in engine.target(state).items() if key != "uid"}),
         )
 
     def change(self, engine, value):
@@ -75,9 +79,15 @@
         else:
             self.kvs[key] = value
         event = (
-            {"type": "DELETE", "kv": {"key": b64(key)}}
+            {"type": "DELETE", "kv": {"key": base64_text(key)}}
             if value is None
-            else {"kv": {"key": b64(key), "value": b64(value), "mod_revision": str(self.revision)}}
+            else {
+                "kv": {
+                    "key": base64_text(key),
+                    "value": base64_text(value),
+                    "mod_revision": str(self.revision),
+                }
+            }
         )
         for wire in self.watches:
             self.say(wire, {"events": [event]})
@@ -90,91 +100,92 @@
     server.close()
 
 
-def test_the_list_comes_from_etcd_and_follows_its_watch(site, etcd):
+def test_the_endpoint_list_comes_from_etcd_and_follows_its_watch(site, etcd):
     old, new, writer = Engine("p"), Engine("p"), Engine("d")
-    for e in (old, new, writer):
-        e.start()
+    for engine in (old, new, writer):
+        engine.start()
     etcd.put(old)
     etcd.put(writer)
-    s = site(etcd=etcd)
+    gateway = site(etcd=etcd)
     eventually(lambda: etcd.watches)
-    assert s.chat().body == b"".join(EVENTS) and etcd.starts == [8]
+    assert gateway.chat().body == b"".join(EVENTS) and etcd.starts == [8]
     etcd.put(new)
     etcd.put(old, "Terminating")
-    eventually(lambda: "rev=9" in s.log())
-    assert s.chat().status == 200 and (len(old.asked), len(new.asked)) == (1, 1)
+    eventually(lambda: "rev=9" in gateway.log())
+    assert gateway.chat().status == 200 and (len(old.asked), len(new.asked)) == (1, 1)
     etcd.change(old, None)
     etcd.put(old)
     etcd.change(new, None)
-    eventually(lambda: "rev=12" in s.log())
-    assert s.chat().status == 200 and (len(old.asked), len(new.asked)) == (2, 1)
-    assert not s.discovery.froms  # the platform's own is not asked
-    for e in (old, new, writer):
-        e.close()
+    eventually(lambda: "rev=12" in gateway.log())
+    assert gateway.chat().status == 200 and (len(old.asked), len(new.asked)) == (2, 1)
+    assert not gateway.discovery.froms  # the platform's discovery gets no request
+    for engine in (old, new, writer):
+        engine.close()
 
 
-@pytest.mark.parametrize("how", ["junk", "compacted", "cut", "bad value"])
-def test_a_watch_on_etcd_that_ends_starts_again_with_the_list(site, etcd, how):
+@pytest.mark.parametrize("failure", ["junk", "compacted", "cut", "bad value"])
+def test_a_watch_on_etcd_that_ends_is_restarted_with_a_new_list(site, etcd, failure):
     reader, writer = Engine("p").start(), Engine("d").start()
     etcd.put(reader)
     etcd.put(writer)
-    s = site(etcd=etcd)
+    gateway = site(etcd=etcd)
     wire = eventually(lambda: etcd.watches)[0]
-    if how == "junk":
+    if failure == "junk":
         wire.event(b"nonsense\n")
-    elif how == "compacted":
+    elif failure == "compacted":
         etcd.say(wire, {"canceled": True, "compact_revision": "7"})
-    elif how == "bad value":
+    elif failure == "bad value":
         etcd.change(reader, "{")
-        eventually(lambda: "discovery-lost" in s.log())
+        eventually(lambda: "discovery-lost" in gateway.log())
         etcd.put(reader)
     else:
         wire.sock.shutdown(2)
     eventually(lambda: len(etcd.starts) > 1 and etcd.watches)
-    assert "discovery-lost" in s.log() and s.chat().status == 200
+    assert "discovery-lost" in gateway.log() and gateway.chat().status == 200
     reader.close()
     writer.close()
 
 
-def call(s, method, path, value=None, token=TOKEN):
-    with Client(s.admin_address) as c:
-        body = (
-            b""
-            if value is None
-            else value
-            if isinstance(value, bytes)
-            else json.dumps(value).encode()
-        )
-        return c.send(method, path, body, Authorization=f"Bearer {token}").answer()
+def call_admin_api(gateway, method, path, value=None, token=TOKEN):
+    """Calls the administration API; `value` is bytes, a JSON value, or None for no body."""
+    if value is None:
+        body = b""
+    elif isinstance(value, bytes):
+        body = value
+    else:
+        body = json.dumps(value).encode()
+    with Client(gateway.admin_address) as client:
+        return client.send(method, path, body, Authorization=f"Bearer {token}").answer()
 
 
-def test_tenants_are_made_changed_and_removed_and_outlive_a_restart(site, tmp_path):
-    s = site(Engine("p"), Engine("d"), Engine("embed"), embeddings={}, admin=TOKEN)
-    assert post(s.embeddings_address, *EMBED).status == 401
+def test_tenants_are_created_changed_and_removed_and_outlast_a_restart(site, tmp_path):
+    gateway = site(Engine("p"), Engine("d"), Engine("embed"), embeddings={}, admin=TOKEN)
+    assert post(gateway.embeddings_address, *EMBED).status == 401
     path = "/admin/v1/tenants/radio-one"
-    made = call(s, "PUT", path, {"quota_per_s": 5, "key": KEY})
-    assert (made.status, made.json()) == (201, {"name": "radio-one", "quota_per_s": 5.0})
-    assert post(s.embeddings_address, *EMBED, Authorization=f"Bearer {KEY}").status == 200
-    assert post(s.embeddings_address, *EMBED, Authorization="Bearer other").json()["error"][
-        "type"
-    ] == ("authentication_error")
-    assert "authorization" not in s.engines[2].asked[0].headers
-    assert call(s, "PUT", path, {"quota_per_s": 7}).json()["quota_per_s"] == 7
-    other = call(s, "PUT", "/admin/v1/tenants/radio-two", {"quota_per_s": 1, "key": KEY})
+    created = call_admin_api(gateway, "PUT", path, {"quota_per_s": 5, "key": KEY})
+    assert (created.status, created.json()) == (201, {"name": "radio-one", "quota_per_s": 5.0})
+    assert post(gateway.embeddings_address, *EMBED, Authorization=f"Bearer {KEY}").status == 200
+    unauthorized = post(gateway.embeddings_address, *EMBED, Authorization="Bearer other")
+    assert unauthorized.json()["error"]["type"] == "authentication_error"
+    assert "authorization" not in gateway.engines[2].asked[0].headers
+    assert call_admin_api(gateway, "PUT", path, {"quota_per_s": 7}).json()["quota_per_s"] == 7
+    other = call_admin_api(
+        gateway, "PUT", "/admin/v1/tenants/radio-two", {"quota_per_s": 1, "key": KEY}
+    )
     assert other.status == 409
-    stored = (tmp_path / "tenants.json").read_text()
-    assert KEY not in stored and hashlib.sha256(KEY.encode()).hexdigest() in stored
-    s.__exit__(None)
-    again = site(Engine("p"), Engine("d"), Engine("embed"), embeddings={}, admin=TOKEN)
-    assert post(again.embeddings_address, *EMBED, Authorization=f"Bearer {KEY}").status == 200
-    assert call(again, "GET", "/admin/v1/tenants").json()["tenants"] == [
+    file_text = (tmp_path / "tenants.json").read_text()
+    assert KEY not in file_text and hashlib.sha256(KEY.encode()).hexdigest() in file_text
+    gateway.__exit__(None)
+    restarted = site(Engine("p"), Engine("d"), Engine("embed"), embeddings={}, admin=TOKEN)
+    assert post(restarted.embeddings_address, *EMBED, Authorization=f"Bearer {KEY}").status == 200
+    assert call_admin_api(restarted, "GET", "/admin/v1/tenants").json()["tenants"] == [
         {"name": "radio-one", "quota_per_s": 7.0}
     ]
-    status = call(again, "GET", "/admin/v1/status").json()
+    status = call_admin_api(restarted, "GET", "/admin/v1/status").json()
     assert status["fronts"]["embeddings"]["counts"]["served"] == 1
-    assert call(again, "DELETE", path).status == 204
-    assert call(again, "GET", path).status == 404
-    assert post(again.embeddings_address, *EMBED, Authorization=f"Bearer {KEY}").status == 401
+    assert call_admin_api(restarted, "DELETE", path).status == 204
+    assert call_admin_api(restarted, "GET", path).status == 404
+    assert post(restarted.embeddings_address, *EMBED, Authorization=f"Bearer {KEY}").status == 401
 
 
 @pytest.mark.parametrize(
@@ -194,42 +205,43 @@
         ("PUT", "/admin/v1/tenants/x", {"quota_per_s": 1, "key": "short"}, TOKEN, 400),
     ],
 )
-def test_what_the_administration_api_turns_away(site_for_admin, method, path, body, token, status):
-    assert call(site_for_admin, method, path, body, token).status == status
+def test_the_administration_api_rejects_invalid_calls(
+    site_for_admin, method, path, body, token, status
+):
+    assert call_admin_api(site_for_admin, method, path, body, token).status == status
 
 
 @pytest.fixture(scope="module")
 def site_for_admin(tmp_path_factory):
     with Site(
         tmp_path_factory.mktemp("admin"), [Engine("p"), Engine("d")], embeddings={}, admin=TOKEN
-    ) as s:
-        yield s
+    ) as gateway:
+        yield gateway
 
 
 def test_chat_is_served_while_the_administration_api_is_flooded(site_for_admin):
-    ended = threading.Event()
+    stop = threading.Event()
 
     def flood():
-        while not ended.is_set():
-            with contextlib.suppress(
-                OSError, IndexError
-            ):  # at its bound it closes the oldest idle one
-                call(site_for_admin, "GET", "/admin/v1/status", token="wrong")
+        while not stop.is_set():
+            # At the limit on connections the API closes the longest idle one.
+            with contextlib.suppress(OSError, IndexError):
+                call_admin_api(site_for_admin, "GET", "/admin/v1/status", token="wrong")
 
     threads = [threading.Thread(target=flood) for _ in range(4)]
-    for t in threads:
-        t.start()
+    for thread in threads:
+        thread.start()
     try:
         assert all(site_for_admin.chat(cls="licence").status == 200 for _ in range(10))
     finally:
-        ended.set()
-        for t in threads:
-            t.join()
+        stop.set()
+        for thread in threads:
+            thread.join()
 
 
 def test_the_administration_api_stays_off_without_a_token(tmp_path):
     (tmp_path / "config.json").write_text("{}")
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -243,5 +255,6 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
+        check=False,
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+    assert completed.returncode == 2 and len(completed.stderr.splitlines()) == 1
--- a/tests/frontends/test_pipelining.py
+++ b/tests/frontends/test_pipelining.py
@@ -1,5 +1,4 @@
-"""Requests that a client sends behind one that is under way: each has its own time, and its own
-answer."""
+"""Pipelined requests: each has its own time limit and its own response."""
 
 import threading
 
@@ -10,8 +9,13 @@
 from claycross.net.receive_timestamps import MAX_RECORDS, ReceiveTimestamps
 from standins.servers import Engine, eventually, passes
 
+REQUEST_TIMEOUT_MS = 6000
+WAIT_S = 2
+# Longest timeout that an engine may get after that wait, with a tolerance of 150 ms.
+REMAINING_MS = REQUEST_TIMEOUT_MS - 1000 * WAIT_S + 150
 
-def request(key, body=b'{"model":"chat"}', cls="licence", timeout=6000):
+
+def request(key, body=b'{"model":"chat"}', cls="licence", timeout=REQUEST_TIMEOUT_MS):
     head = (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {key}\r\n"
         f"X-Priority-Class: {cls}\r\nX-Timeout-Ms: {timeout}\r\nX-Attrs: "
@@ -22,8 +26,7 @@
 
 
 class HeldWriter(Engine):
-    """Answers the request of that name, or all where none is given, once it is told to; others at
-    once."""
+    """Delays the response to the request with id `only`, by default all, until `go_on` is set."""
 
     def __init__(self, only=""):
         super().__init__("d", plan=HeldWriter.answer)
@@ -42,78 +45,79 @@
     engine.go_on.set()
 
 
-def test_time_spent_behind_another_request_counts(site, writer):
-    """The engine is told at most what is left to the client, with 0.15 s of slack."""
-    s = site(Engine("p"), writer, release=True)
-    with s.client() as c:
-        c.sock.sendall(request("first") + request("second"))
+def test_time_spent_behind_another_request_counts_towards_the_timeout(site, writer):
+    """The engine gets at most the time that the client has left, with 0.15 s of tolerance."""
+    gateway = site(Engine("p"), writer, release=True)
+    with gateway.client() as client:
+        client.sock.sendall(request("first") + request("second"))
         eventually(lambda: writer.asked)
-        passes(2)
+        passes(WAIT_S)
         writer.go_on.set()
-        assert [c.answer().status, c.answer().status] == [200, 200]
-    assert int(writer.asked[1]["x-timeout-ms"]) <= 6000 - 2000 + 150
+        assert [client.answer().status, client.answer().status] == [200, 200]
+    assert int(writer.asked[1]["x-timeout-ms"]) <= REMAINING_MS
 
 
-def test_a_request_that_was_taken_is_answered_however_much_follows_it(site, writer):
-    """Closing the connection over what follows would lose it."""
-    s = site(Engine("p"), writer, release=True)
-    with s.client() as c:
-        c.sock.sendall(request("first"))
+def test_an_accepted_request_is_answered_however_much_follows_it(site, writer):
+    """Closing the connection with unread bytes would reset it and lose the response."""
+    gateway = site(Engine("p"), writer, release=True)
+    with gateway.client() as client:
+        client.sock.sendall(request("first"))
         eventually(lambda: writer.asked)
-        c.sock.sendall(request("second", body=b"x" * 200_000))
+        client.sock.sendall(request("second", body=b"x" * 200_000))
         passes(0.3)
         writer.go_on.set()
-        assert [c.answer().status, c.answer().status] == [200, 200]
+        assert [client.answer().status, client.answer().status] == [200, 200]
 
 
-def test_time_that_bytes_waited_unread_counts(site, writer):
-    """More follows than is read ahead: the rest has waited in the gateway's own socket."""
-    s = site(Engine("p"), writer, release=True)
-    with s.client() as c:
-        c.sock.sendall(
+def test_time_that_bytes_waited_unread_counts_towards_the_timeout(site, writer):
+    """More follows than is read ahead: the rest waits in the gateway's socket."""
+    gateway = site(Engine("p"), writer, release=True)
+    with gateway.client() as client:
+        client.sock.sendall(
             request("first")
             + request("second", body=b"x" * 60_000)
             + request("third", body=b"x" * 90_000)
             + request("fourth")
         )
         eventually(lambda: writer.asked)
-        passes(2)
+        passes(WAIT_S)
         writer.go_on.set()
-        assert [c.answer().status for _ in range(4)] == [200] * 4
-    assert [int(m["x-timeout-ms"]) <= 6000 - 2000 + 150 for m in writer.asked[1:]] == [True] * 3
+        assert [client.answer().status for _ in range(4)] == [200] * 4
+    timeouts = [int(message["x-timeout-ms"]) for message in writer.asked[1:]]
+    assert len(timeouts) == 3 and max(timeouts) <= REMAINING_MS
 
 
-def test_a_client_that_leaves_behind_much_unread_is_noticed(site, writer):
-    """What follows its request is not read to the end, yet nothing more is sent for it."""
+def test_the_disconnect_of_a_client_behind_many_unread_bytes_is_noticed(site, writer):
+    """The bytes that follow its request are not all read, yet no engine call is made for them."""
     readers = [Engine("p")]
-    s = site(*readers, writer, release=True)
-    c = s.client()
-    c.sock.sendall(request("first"))
+    gateway = site(*readers, writer, release=True)
+    client = gateway.client()
+    client.sock.sendall(request("first"))
     eventually(lambda: writer.asked)
-    c.sock.sendall(request("second", body=b"x" * 200_000))
+    client.sock.sendall(request("second", body=b"x" * 200_000))
     passes(0.2)
-    c.__exit__()
-    eventually(lambda: all(w.ended for w in writer.wires))
+    client.__exit__()
+    eventually(lambda: all(wire.ended for wire in writer.wires))
     passes(0.3)
-    assert [m["x-request-id"] for m in readers[0].asked] == ["first"]
+    assert [message["x-request-id"] for message in readers[0].asked] == ["first"]
 
 
 @given(
     reads=st.lists(st.tuples(st.integers(1, 50), st.integers(0, 5)), max_size=60), data=st.data()
 )
-def test_no_byte_is_said_to_be_younger_than_it_is(reads, data):
-    times, true, now = ReceiveTimestamps(), [], 0
+def test_no_byte_gets_a_receive_time_later_than_its_own(reads, data):
+    timestamps, true_times, now = ReceiveTimestamps(), [], 0
     for size, wait in reads:
         now += wait + 1
-        times.add(size, now)
-        true += [now] * size
-        pending = data.draw(st.integers(0, len(true)))
-        true = true[len(true) - pending :]
-        assert times.oldest(pending) == (true[0] if true else 0)
-
-
-def test_many_small_reads_are_bounded_and_count_as_older():
-    times = ReceiveTimestamps()
-    for at in range(1, 3 * MAX_RECORDS):
-        times.add(1, at)
-    assert len(times.records) == MAX_RECORDS and times.oldest(1) <= MAX_RECORDS
+        timestamps.add(size, now)
+        true_times += [now] * size
+        pending = data.draw(st.integers(0, len(true_times)))
+        true_times = true_times[len(true_times) - pending :]
+        assert timestamps.oldest(pending) == (true_times[0] if true_times else 0)
+
+
+def test_records_of_many_small_reads_are_limited_and_merged_into_earlier_ones():
+    timestamps = ReceiveTimestamps()
+    for received_at in range(1, 3 * MAX_RECORDS):
+        timestamps.add(1, received_at)
+    assert len(timestamps.records) == MAX_RECORDS and timestamps.oldest(1) <= MAX_RECORDS
