--- a/claycross/gateway/endpoint_updates.py
+++ b/claycross/gateway/endpoint_updates.py
@@ -103,7 +103,8 @@
         """
         parts = self.parts
         if not parts.list_freshness.confirmed:
-            self.log(f"list-unheard engines={len(parts.chat.endpoints)} the saved list is sent by")
+            engine_count = len(parts.chat.endpoints)
+            self.log(f"list-unconfirmed engines={engine_count} the saved list is used")
         for manager in parts.managers:
             manager.admit_waiting()
 
--- a/tests/discovery/test_list_freshness.py
+++ b/tests/discovery/test_list_freshness.py
@@ -133,7 +133,7 @@
         assert 0 < float(rejected["retry-after"]) <= 0.8
         assert patient.answer().status == 200
     assert 0.7 < time.monotonic() - started_at < 6
-    assert "list-unheard" in running.log()
+    assert "list-unconfirmed" in running.log()
     assert readiness_status(running) == 200
     assert running.chat().status == 200
     assert len(running.engines[0].asked) == 2
