--- a/claycross/gateway/__init__.py
+++ b/claycross/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""One gateway process: assembly of its parts, lifecycle, operator commands, statistics."""
+"""A gateway process: assembly of its parts, lifecycle, operator commands and statistics."""
 
 from .configuration import Configuration
 from .gateway import Gateway
--- a/claycross/gateway/configuration.py
+++ b/claycross/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The contents of all configuration files of one gateway."""
+"""The combined contents of a gateway's configuration files."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ..config.settings import AdminConfig, EmbeddingsConfig, EtcdConfig, GatewayConfig
 
 if TYPE_CHECKING:
-    # With a library that is loaded only where one of these files is given.
+    # Imports msgspec, which is loaded only if one of these files is given.
     from ..config.operator_files import CooperationConfig, Http2Config
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What the configuration files say; None for each optional file that is not given."""
+    """The parsed configuration files; an optional file that is not given is None."""
 
     gateway: GatewayConfig
     embeddings: EmbeddingsConfig | None = None
--- a/claycross/gateway/endpoint_updates.py
+++ b/claycross/gateway/endpoint_updates.py
@@ -1,8 +1,8 @@
-"""Discovery of engines, and the application of its updates to the gateway's parts.
+"""Runs discovery and applies its endpoint updates to the gateway's parts.
 
 An update passes the check of engine incarnations and the administrative ejections before the
-request managers and engine connections see it. The warm-start snapshot of the previous process is
-restored once discovery has given a list, as a saved list may be stale.
+request managers and engine connections receive it. The warm-start snapshot of the previous process
+is restored only when discovery has delivered a list, because the saved list may be stale.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class EndpointUpdates:
-    """Runs discovery and applies its updates."""
+    """Owns the discovery watch and applies its updates to the gateway's parts."""
 
     def __init__(self, parts: GatewayParts, etcd: EtcdConfig | None):
         self.parts = parts
@@ -28,7 +28,7 @@
         self.discovery = self.create_discovery(etcd)
 
     def create_discovery(self, etcd: EtcdConfig | None) -> DiscoveryWatch:
-        """Return a watch of etcd where that is configured, else of the platform's discovery."""
+        """Create a watch of etcd if it is configured, else of the platform's discovery service."""
         if etcd:
             return EtcdWatch(self.loop, etcd, [self.update_endpoints], self.log)
         timing = self.parts.list_freshness.timing
@@ -42,64 +42,63 @@
         )
 
     def start(self) -> None:
-        """Begin to watch, or have the chat router begin where it polls for the list itself."""
-        # Set before the managers' first events are processed: a router that polls the list does so
-        # in its first action.
-        if self.polls():
+        """Start watching, or let the chat router request each poll if the list is polled."""
+        # Set before the managers process their first events: a polling router requests the list in
+        # its first action.
+        if self.polls_list():
             self.parts.chat.watch_endpoints = self.watch
         else:
             self.watch()
 
-    def polls(self) -> bool:
-        """Tell whether the list is polled; etcd is always watched."""
-        polls = self.parts.config.settings.polls_endpoint_list
-        return polls and not isinstance(self.discovery, EtcdWatch)
+    def polls_list(self) -> bool:
+        """Return whether the endpoint list is polled; etcd is always watched."""
+        polling_configured = self.parts.config.settings.polls_endpoint_list
+        return polling_configured and not isinstance(self.discovery, EtcdWatch)
 
     def watch(self) -> None:
-        """Poll discovery once, or watch it from now on."""
-        if self.polls():
-            self.loop.spawn(self.discovery.watch_once, self.list_failed)
+        """Poll discovery once, or start a continuous watch."""
+        if self.polls_list():
+            self.loop.spawn(self.discovery.watch_once, self.report_poll_failure)
         else:
             self.loop.spawn(self.discovery.watch_for_ever)
 
-    def list_failed(self) -> None:
-        """Let the chat router know that a poll failed."""
+    def report_poll_failure(self) -> None:
+        """Notify the chat router that a poll failed."""
         self.parts.chat.update_endpoints(EndpointListUpdate(UpdateKind.FAILED))
 
     def update_endpoints(self, update: EndpointListUpdate, endpoints: dict[str, Endpoint]) -> None:
-        """Apply an update from discovery or from the saved list."""
+        """Apply an update from discovery or the saved list to all parts."""
         parts = self.parts
-        saved = update.kind == UpdateKind.SAVED
-        is_first = not saved and parts.list_freshness.discovery_responded()
+        is_saved = update.kind == UpdateKind.SAVED
+        is_first_response = not is_saved and parts.list_freshness.discovery_responded()
         update = parts.incarnations.apply(
             update, self.loop.now(), time.time_ns(), self.discovery.previous_message_at
         )
-        self.log_incarnations()
+        self.log_incarnation_messages()
         update = parts.ejections.apply(update)
-        if not saved:
+        if not is_saved:
             self.restore_snapshot()
         parts.update_endpoints(update, endpoints)
-        if is_first:
+        if is_first_response:
             self.admit_waiting()
 
     def apply_ejections(self, updates: list[EndpointListUpdate]) -> None:
-        """Apply updates that follow from administrative ejections."""
+        """Apply updates that result from administrative ejections."""
         for update in updates:
             entries = [entry.copy() for entry in update.entries]
             self.parts.update_endpoints(EndpointListUpdate(UpdateKind.CHANGES, entries), {})
 
-    def log_incarnations(self) -> None:
-        """Log what the check of incarnations found."""
+    def log_incarnation_messages(self) -> None:
+        """Write and clear the log messages of the incarnation check."""
         messages = self.parts.incarnations.log_messages
         for message in messages:
             self.log(message)
         messages.clear()
 
     def admit_waiting(self) -> None:
-        """Admit the requests that wait for discovery.
+        """Admit the requests that wait for discovery's first response.
 
-        Called when discovery responds for the first time, and when it has not done so for so long
-        that the saved list is used.
+        Called when that response arrives, or when the wait times out and the saved list is used.
         """
         parts = self.parts
         if not parts.list_freshness.confirmed:
@@ -111,12 +110,12 @@
     # ------------------------------------------------------------ warm start
 
     def capture_snapshot(self) -> dict[str, object]:
-        """Return the chat router's warm-start snapshot, in its stored form."""
+        """Return the encoded warm-start snapshot of the chat router."""
         router = self.parts.chat.router
         return warm_start.capture(router, self.loop.now(), self.loop.clock_id).encode()
 
     def restore_snapshot(self) -> None:
-        """Restore the previous process's snapshot into the chat router, once."""
+        """Restore the previous process's snapshot into the chat router; later calls do nothing."""
         state_store = self.parts.state_store
         snapshot = state_store.snapshot
         if snapshot is None:
--- a/claycross/gateway/gateway.py
+++ b/claycross/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Assembly of the parts of one gateway."""
+"""Creates and connects the components of one gateway."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 CHAT = "chat"
 EMBEDDINGS = "embeddings"
-# Descriptors kept for the process itself, discovery, and connections being accepted.
+# File descriptors kept for the process itself, discovery and connections being accepted.
 RESERVED_DESCRIPTORS = 48
-MIN_CONNECTIONS = 16  # to clients, and to engines, however few descriptors there are
+MIN_CONNECTIONS = 16  # to clients and to engines each, whatever the descriptor limit
 MIN_COOPERATING_GATEWAYS = 2
 
 
 class Gateway:
-    """All parts of one gateway, on one event loop."""
+    """One gateway: its components on one event loop."""
 
     def __init__(self, configuration: Configuration):
         config = configuration.gateway
@@ -77,21 +77,21 @@
         self.statistics.start()
 
     def trace(self) -> None:
-        """Log the end of every attempt and request, and late iterations of the event loop."""
+        """Log the end of each attempt and request, and late iterations of the event loop."""
         self.statistics.trace()
 
-    def run(self, reread: ReadConfiguration) -> None:
-        """Serve until the process has stopped.
+    def run(self, read_configuration: ReadConfiguration) -> None:
+        """Serve until the process is stopped.
 
         Args:
-            reread: Reads the configuration files again, on SIGHUP.
+            read_configuration: Reads the configuration files again on SIGHUP.
         """
-        Lifecycle(self.parts, self.endpoint_updates, reread).run()
+        Lifecycle(self.parts, self.endpoint_updates, read_configuration).run()
 
     # ------------------------------------------------------------ state and services
 
     def create_parts(self) -> GatewayParts:
-        """Create the parts that do not depend on services."""
+        """Create the components that are independent of services."""
         config = self.config
         managers: list[RequestManager] = []
         ejections = AdministrativeEjections()
@@ -108,7 +108,7 @@
         )
 
     def add_service(self, name: str, settings: Settings, connections: int) -> None:
-        """Add a request manager and its connections to engines."""
+        """Add the request manager and engine connections of a service."""
         manager = RequestManager(settings, self.config.seed, self.loop, self.log, name)
         manager.list_freshness = self.parts.list_freshness
         pool = ConnectionPool(
@@ -128,8 +128,8 @@
         manager: RequestManager,
         pool: ConnectionPool,
     ) -> None:
-        """Let a service speak HTTP/2 to engines."""
-        # Imported only here, for the start and memory of gateways without HTTP/2.
+        """Enable HTTP/2 from a service to its engines."""
+        # Imported on use: gateways without HTTP/2 save its start-up time and memory.
         from ..upstream.http2 import Http2Client
 
         client = Http2Client(
@@ -145,28 +145,28 @@
         engine_connections.enable_http2(client, http2.everywhere)
 
     def start_managers(self) -> None:
-        """Process the events of the request managers, now and after each loop iteration."""
+        """Process the request managers' events now and after each loop iteration."""
         for manager in self.parts.managers:
             self.loop.after_iteration.append(manager.process_events)
             manager.process_events()
 
     def start_state_store(self) -> None:
-        """Apply the persisted drain, and keep the state up to date from now on."""
+        """Apply a persisted drain and start persisting state changes."""
         state_store = self.parts.state_store
         state_store.on_ejections_changed = self.endpoint_updates.apply_ejections
         state_store.on_drain_changed = self.commands.apply_drain
-        if self.parts.may_be_succeeded:
+        if self.parts.supports_handover:
             state_store.capture_snapshot = self.endpoint_updates.capture_snapshot
         if state_store.draining:
             self.commands.apply_drain(True)
-        unheard = self.parts.list_freshness.timing.unheard
-        self.loop.call_later(unheard, self.endpoint_updates.admit_waiting)
-        state_store.start(saves_snapshots=self.parts.may_be_succeeded)
+        confirmation_timeout = self.parts.list_freshness.timing.unheard
+        self.loop.call_later(confirmation_timeout, self.endpoint_updates.admit_waiting)
+        state_store.start(saves_snapshots=self.parts.supports_handover)
 
     # ------------------------------------------------------------ other gateways
 
     def open_peer_socket(self) -> None:
-        """Open the socket for messages between gateways, where the settings permit them."""
+        """Open the socket for messages between gateways, if the settings permit them."""
         config = self.config
         if not (config.settings.gossip_allowed and config.peer_listen and config.peers_all):
             return
@@ -182,30 +182,34 @@
         self.parts.chat.send_gossip = peers.send_to_gateway
 
     def receive_datagram(self, peer: int, payload: bytes) -> None:
-        """Pass a message from another gateway to membership, or as gossip to the chat router."""
+        """Pass a datagram of another gateway to membership, or to the chat router as gossip."""
         membership = self.parts.membership
         if membership and membership.receive(peer, payload):
             return
         self.parts.chat.enqueue(GossipReceived(peer, payload))
 
     def start_cooperation(self, cooperation: CooperationConfig) -> None:
-        """Start the membership protocol, where the settings permit messages between gateways."""
+        """Start the membership protocol, if the settings permit messages between gateways."""
         from ..discovery.membership_driver import MembershipDriver
 
         settings = self.config.settings
         peers = self.parts.peers
-        count = settings.gateway_count
-        if not peers or count < MIN_COOPERATING_GATEWAYS or len(self.config.peers) != count:
+        gateway_count = settings.gateway_count
+        if (
+            not peers
+            or gateway_count < MIN_COOPERATING_GATEWAYS
+            or len(self.config.peers) != gateway_count
+        ):
             self.log(
                 "cooperation-off the settings permit no messages between gateways, or there is "
-                "one only"
+                "only one gateway"
             )
             return
         self.parts.membership = MembershipDriver(
             self.loop,
             peers,
             settings.gateway_number,
-            count,
+            gateway_count,
             settings.zone,
             self.config.seed,
             cooperation.members.spec(),
@@ -215,7 +219,7 @@
     # ------------------------------------------------------------ frontends
 
     def add_chat_frontend(self, connections: int) -> None:
-        """Listen for chat clients."""
+        """Listen for clients of the chat service."""
         frontend = ChatFrontend(
             self.loop,
             self.parts.chat,
@@ -229,7 +233,7 @@
     def add_embeddings_frontends(
         self, embeddings: EmbeddingsConfig, admin: AdminConfig | None
     ) -> None:
-        """Listen for embeddings clients, and for the administration API where it is configured."""
+        """Listen for clients of embeddings and, if configured, of the administration API."""
         manager = self.parts.managers[1]
         frontends = self.parts.frontends
         if not admin:
@@ -240,7 +244,7 @@
         frontends.append(AdminFrontend(self.loop, manager, admin, tenants, self.statistics.status))
 
     def open_admin_socket(self) -> None:
-        """Listen for operators' commands, where an address is configured."""
+        """Listen for operator commands, if an address is configured."""
         if not self.config.admin_listen:
             return
         self.statistics.enable_metrics()
@@ -252,7 +256,7 @@
 def max_connections(
     config: GatewayConfig, embeddings: EmbeddingsConfig | None, admin: AdminConfig | None
 ) -> int:
-    """Return how many connections the chat service may have to clients, and to engines."""
+    """Return the chat service's limit on connections to clients, and likewise to engines."""
     descriptors = config.max_descriptors - RESERVED_DESCRIPTORS
     if config.admin_listen:
         descriptors -= MOST_CALLERS
--- a/claycross/gateway/lifecycle.py
+++ b/claycross/gateway/lifecycle.py
@@ -1,6 +1,6 @@
-"""The lifecycle of the gateway's process: running, reload on SIGHUP, graceful shutdown on SIGTERM.
+"""The lifecycle of the gateway process: run, reload on SIGHUP, graceful shutdown on SIGTERM.
 
-A configuration that can't be used never ends a running process.
+An invalid configuration never ends a running process.
 """
 
 from __future__ import annotations
@@ -20,93 +20,97 @@
 from .parts import GatewayParts
 from .version import VERSION
 
-# Between two groups of streams that are handed back.
-HAND_BACK_INTERVAL = 40 * MS
-# Between checks whether a stopping process has finished its work.
-END_POLL_INTERVAL = 20 * MS
-# Fields of the configuration that are no settings of the running process, or that reload applies.
+# Between two batches of streams that are ended for their clients to resume elsewhere.
+HAND_BACK_INTERVAL_NS = 40 * MS
+# Between checks of whether a stopping process has finished its work.
+COMPLETION_POLL_INTERVAL_NS = 20 * MS
+# Configuration fields that a reload applies, or that have no effect on a running process.
 NOT_REPORTED_ON_RELOAD = ("name", "discovery", "seed", "known", "deployment")
 
-# Reads the configuration files again; returns the configuration and discovery's address.
+# Reads the configuration files again; returns the configuration and the address of discovery.
 ReadConfiguration = Callable[[], tuple[GatewayConfig, Address]]
 
 
 class Lifecycle:
-    """Runs one gateway until it is stopped."""
+    """Runs one gateway until it is stopped, and handles its signals."""
 
     def __init__(
-        self, parts: GatewayParts, endpoint_updates: EndpointUpdates, reread: ReadConfiguration
+        self,
+        parts: GatewayParts,
+        endpoint_updates: EndpointUpdates,
+        read_configuration: ReadConfiguration,
     ):
         self.parts = parts
         self.loop = parts.loop
         self.log = parts.log
         self.endpoint_updates = endpoint_updates
-        self.reread = reread
+        self.read_configuration = read_configuration
 
     def run(self) -> None:
-        """Serve until the process has stopped."""
+        """Serve until the process is stopped."""
         self.loop.on_signals(
             {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.reload}
         )
-        # What the start has allocated stays; the collector need not look at it again.
+        # Objects allocated during start-up live on: exclude them from garbage collections.
         gc.collect()
         gc.freeze()
         self.log_serving()
         self.loop.run()
 
     def log_serving(self) -> None:
-        """Log where the gateway listens."""
+        """Log the addresses on which the gateway listens."""
         parts = self.parts
         host, port = parts.chat_frontend.listener.address()
         inherited = parts.config.inherited_socket
-        passed = "" if inherited is None else f" passed={inherited}"
+        inherited_field = "" if inherited is None else f" passed={inherited}"
         listeners = ""
         for name, frontend in zip(("embeddings", "admin"), parts.frontends[1:], strict=False):
             listeners += " {}={}:{}".format(name, *frontend.listener.address())
         if parts.admin_socket:
             listeners += " door={}:{}".format(*parts.admin_socket.listener.address())
         self.log(
-            f"serving listen={host}:{port}{passed}{listeners} version={VERSION} "
+            f"serving listen={host}:{port}{inherited_field}{listeners} version={VERSION} "
             f"debug={__debug__} engines={len(parts.chat.endpoints)}"
         )
 
     # ------------------------------------------------------------ reload
 
     def reload(self) -> None:
-        """Move to the discovery that the configuration files name now.
+        """Read the configuration again and apply a changed address of discovery.
 
-        Other changes in the files take effect at the next start, and are named in the log. Files
-        that can't be used change nothing.
+        Other changes are logged by name and take effect at the next start. Invalid files change
+        nothing.
         """
         try:
-            config, source = self.reread()
+            config, discovery_address = self.read_configuration()
         except ConfigurationError as err:
-            self.log(f"reload-failed the old settings stay in force: {err}")
+            self.log(f"reload-failed the previous settings stay in force: {err}")
             return
-        waits = ",".join(self.changed_settings(config)) or "none"
-        moved = self.endpoint_updates.discovery.move(source)
-        self.log(f"reloaded discovery={source[0]}:{source[1]} moved={moved} waits={waits}")
+        pending_settings = ",".join(self.changed_settings(config)) or "none"
+        moved = self.endpoint_updates.discovery.move(discovery_address)
+        host, port = discovery_address
+        self.log(f"reloaded discovery={host}:{port} moved={moved} waits={pending_settings}")
         if moved:
             self.endpoint_updates.watch()
 
     def changed_settings(self, config: GatewayConfig) -> list[str]:
-        """Return the names of settings that differ and take effect at the next start."""
+        """Return the names of changed settings that take effect at the next start."""
         return [
-            item.name
-            for item in fields(GatewayConfig)
-            if item.name not in NOT_REPORTED_ON_RELOAD
-            and getattr(config, item.name) != getattr(self.parts.config, item.name)
+            setting.name
+            for setting in fields(GatewayConfig)
+            if setting.name not in NOT_REPORTED_ON_RELOAD
+            and getattr(config, setting.name) != getattr(self.parts.config, setting.name)
         ]
 
     # ------------------------------------------------------------ shutdown
 
     def stop(self) -> None:
-        """Begin the graceful shutdown."""
+        """Start the graceful shutdown."""
         parts = self.parts
         if parts.stopping:
             return
         parts.stopping = True
-        if parts.may_be_succeeded:
+        if parts.supports_handover:
             parts.state_store.stop()
         schedule = self.shutdown_schedule()
         if parts.membership:
@@ -116,12 +120,12 @@
             manager.stops_at = self.loop.now() + schedule.answered
             manager.enqueue(ShutdownStarted())
         self.stop_frontends(schedule)
-        self.loop.call_later(schedule.accepts, self.end_when_finished)
+        self.loop.call_later(schedule.accepts, self.exit_when_finished)
         remaining = schedule.answered - schedule.hand_back
         self.loop.call_later(schedule.hand_back, partial(self.start_hand_back, remaining))
 
     def shutdown_schedule(self) -> ShutdownSchedule:
-        """Return the schedule for the deadlines of all request classes."""
+        """Return the shutdown schedule that fits the deadlines of all request classes."""
         return ShutdownSchedule.for_deadlines(
             request_class.timeout
             for manager in self.parts.managers
@@ -129,41 +133,41 @@
         )
 
     def stop_frontends(self, schedule: ShutdownSchedule) -> None:
-        """Drain the frontends, and close them once no more connections are accepted."""
+        """Drain the frontends now, and close them at the end of the schedule's accept phase."""
         accepts_waiting = schedule.accepts_queued - schedule.accepts
         for frontend in self.parts.frontends:
             frontend.start_draining()
             if frontend.listener.shared:
-                # New connections wait in the socket for the process that takes over.
+                # New connections wait in the shared socket's backlog for the next process.
                 frontend.listener.close()
             self.loop.call_later(schedule.accepts, partial(frontend.close, accepts_waiting))
 
     def start_hand_back(self, remaining: int) -> None:
-        """Hand back the streams that still run, spread over the remaining time in ns."""
+        """End the streams that are still open, spread over the remaining time in ns."""
         self.hand_back(self.loop.now() + remaining)
 
     def hand_back(self, deadline: int) -> None:
-        """Hand back a share of the streams, and go on until none runs.
+        """End a share of the open streams, and repeat until none is open.
 
-        Streams that ended all at once made their clients return all at once, at times while no
-        gateway was up.
+        If all streams ended at once, all clients would reconnect at once, possibly while no gateway
+        is up.
         """
-        rounds = max(1, (deadline - self.loop.now()) // HAND_BACK_INTERVAL)
+        batches_left = max(1, (deadline - self.loop.now()) // HAND_BACK_INTERVAL_NS)
         for manager in self.parts.managers:
-            manager.hand_back_streams(rounds)
+            manager.hand_back_streams(batches_left)
         if any(manager.requests for manager in self.parts.managers):
-            self.loop.call_later(HAND_BACK_INTERVAL, partial(self.hand_back, deadline))
+            self.loop.call_later(HAND_BACK_INTERVAL_NS, partial(self.hand_back, deadline))
 
-    def end_when_finished(self) -> None:
-        """End the process once no client, request or write is left."""
-        if self.is_busy():
-            self.loop.call_later(END_POLL_INTERVAL, self.end_when_finished)
+    def exit_when_finished(self) -> None:
+        """Exit once no client, request or state write is left."""
+        if self.has_pending_work():
+            self.loop.call_later(COMPLETION_POLL_INTERVAL_NS, self.exit_when_finished)
             return
         self.log("stopped")
         self.loop.stop()
 
-    def is_busy(self) -> bool:
-        """Tell whether a stopping process still has work."""
+    def has_pending_work(self) -> bool:
+        """Return whether a stopping process still has work to finish."""
         parts = self.parts
         if any(frontend.clients or not frontend.listener.closed for frontend in parts.frontends):
             return True
--- a/claycross/gateway/parts.py
+++ b/claycross/gateway/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one gateway process that its commands, lifecycle and statistics share."""
+"""The components of a gateway process, shared by its commands, lifecycle and statistics."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayLog:
-    """The log of one gateway; each line begins with the time and the gateway's name."""
+    """Log writer that prefixes each line with the time and the gateway's name."""
 
     loop: EventLoop
     name: str
 
     def write(self, text: str) -> None:
-        """Write one line."""
+        """Write one log line."""
         log_line(f"{self.loop.unix_time() / SECOND:.3f} {self.name} {text}")
 
 
 @dataclass(slots=True)
 class GatewayParts:
-    """The parts of one gateway, all on one event loop."""
+    """The components of one gateway, which share one event loop."""
 
     config: GatewayConfig
     loop: EventLoop
@@ -48,10 +48,12 @@
     list_freshness: ListFreshness
     ejections: AdministrativeEjections
     state_store: StateStore
-    # The request manager of chat first; that of embeddings second, where it is configured.
+    # The chat manager first, then the embeddings manager if configured.
     managers: list[RequestManager]
-    engine_connections: list[EngineConnections] = field(default_factory=list)  # as `managers`
-    # Chat first, then embeddings and the administration API, where they are configured.
+    engine_connections: list[EngineConnections] = field(
+        default_factory=list
+    )  # in order of `managers`
+    # The chat frontend first, then those of embeddings and the administration API if configured.
     frontends: list[Frontend] = field(default_factory=list)
     peers: DatagramSocket | None = None
     membership: MembershipDriver | None = None
@@ -69,22 +71,22 @@
         return self.frontends[0]
 
     @property
-    def may_be_succeeded(self) -> bool:
-        """Whether another process may take over from this one, with the listening socket."""
+    def supports_handover(self) -> bool:
+        """Whether another process can take over the inherited listening socket from this one."""
         return self.config.inherited_socket is not None
 
     def update_endpoints(self, update: EndpointListUpdate, endpoints: dict[str, Endpoint]) -> None:
-        """Pass an update of the endpoint list to all managers and engine connections."""
+        """Pass an endpoint list update to all request managers and engine connections."""
         for manager, connections in zip(self.managers, self.engine_connections, strict=True):
             connections.update_endpoints(update, endpoints)
             entries = [entry.copy() for entry in update.entries]
             manager.update_endpoints(EndpointListUpdate(update.kind, entries))
 
     def list_is_fresh(self) -> bool:
-        """Tell whether the endpoint list is recent enough to send requests by."""
+        """Return whether requests may be sent based on the current endpoint list."""
         return self.list_freshness.may_send(self.loop.now())
 
 
 def last_response(managers: list[RequestManager], engine: str) -> int:
-    """Return when the engine last answered this gateway, by its clock in ns; 0 for never."""
+    """Return when the engine last responded, in ns of this gateway's clock; 0 for never."""
     return max((manager.last_response.get(engine, 0) for manager in managers), default=0)
--- a/claycross/gateway/statistics.py
+++ b/claycross/gateway/statistics.py
@@ -1,6 +1,6 @@
-"""Statistics of the gateway: periodic log lines, metrics, the administration API's status.
+"""Statistics of the gateway: periodic log lines, metrics and the administration API's status.
 
-The consistency check of the parts runs here as well, at the same kind of interval.
+Also runs the periodic consistency check of the gateway's parts.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
     from ..frontends.metrics import Metrics, MetricsSnapshot
     from ..net.loop_metrics import LoopMetrics
 
-STATISTICS_INTERVAL = 10 * SECOND
-# Debug builds check more often, so that tests meet an inconsistency.
-CHECK_INTERVAL = 100 * MS if __debug__ else 10 * SECOND
-# Prefixes of the request managers' counts of why something was not done, or ended.
-EXPORTED_COUNTS = ("denied-", "refused-", "closed-")
+STATISTICS_INTERVAL_NS = 10 * SECOND
+# Debug builds check more often, so that tests detect inconsistencies.
+CHECK_INTERVAL_NS = 100 * MS if __debug__ else 10 * SECOND
+# Name prefixes of the request managers' counts (by reason) that are exported as metrics.
+EXPORTED_COUNT_PREFIXES = ("denied-", "refused-", "closed-")
 
 
 class Statistics:
-    """Reads the counts that the parts of one gateway keep."""
+    """Collects the counts that the parts of one gateway keep."""
 
     def __init__(self, parts: GatewayParts):
         self.parts = parts
@@ -37,19 +37,19 @@
         self.metrics: Metrics | None = None
 
     def start(self) -> None:
-        """Begin the periodic log lines and checks."""
-        self.loop.call_later(STATISTICS_INTERVAL, self.log_statistics)
-        self.loop.call_later(CHECK_INTERVAL, self.check)
+        """Start the periodic log lines and consistency checks."""
+        self.loop.call_later(STATISTICS_INTERVAL_NS, self.log_statistics)
+        self.loop.call_later(CHECK_INTERVAL_NS, self.check)
 
     def enable_metrics(self) -> None:
-        """Make the metrics available."""
-        # Imported only here: the library adds 45 ms to the start.
+        """Enable the metrics of the admin socket."""
+        # Imported on use: the Prometheus library adds 45 ms to the start.
         from ..frontends.metrics import Metrics
 
         self.metrics = Metrics(self.snapshot)
 
     def trace(self) -> None:
-        """Log the end of every attempt and request, and late iterations of the event loop."""
+        """Log the end of each attempt and request, and late iterations of the event loop."""
         from ..net.loop_metrics import LoopMetrics
 
         for manager in self.parts.managers:
@@ -57,12 +57,12 @@
         self.loop_metrics = LoopMetrics(self.loop, self.log)
 
     def check(self) -> None:
-        """Check the state of the request managers and engine connections for consistency."""
+        """Check the invariants of the request managers and engine connections."""
         for manager in self.parts.managers:
             manager.check()
         for connections in self.parts.engine_connections:
             connections.check()
-        self.loop.call_later(CHECK_INTERVAL, self.check)
+        self.loop.call_later(CHECK_INTERVAL_NS, self.check)
 
     # ------------------------------------------------------------ log lines
 
@@ -73,10 +73,10 @@
         self.log_accept_errors()
         self.log_peers()
         self.loop.max_lag = 0
-        self.loop.call_later(STATISTICS_INTERVAL, self.log_statistics)
+        self.loop.call_later(STATISTICS_INTERVAL_NS, self.log_statistics)
 
     def log_loop(self) -> None:
-        """Log the event loop's lag and the counts of the whole process."""
+        """Log the event loop's lag and the process-wide counts."""
         loop = self.loop
         self.log(
             f"stats late_max_ms={loop.max_lag / MS:.1f} late_rounds={loop.late_iterations} "
@@ -86,7 +86,7 @@
         )
 
     def log_managers(self) -> None:
-        """Log the counts of each service and the engines it avoids."""
+        """Log the counts of each service and its ejected engines."""
         parts = self.parts
         services = zip(parts.managers, parts.engine_connections, parts.frontends, strict=False)
         for manager, connections, frontend in services:
@@ -101,7 +101,7 @@
                 self.log(f"excluded-{manager.name} engines={','.join(ejected)}")
 
     def log_accept_errors(self) -> None:
-        """Log errors of accepting connections, for each listener that had any."""
+        """Log the accept errors of each listener that had any."""
         for frontend in self.parts.frontends:
             listener = frontend.listener
             if listener.accept_errors:
@@ -109,7 +109,7 @@
                 self.log(f"accepts-failed listen={port} {sorted_counts(listener.accept_errors)}")
 
     def log_peers(self) -> None:
-        """Log the counts of messages between gateways and of membership."""
+        """Log the counts of peer messages, loop iterations and membership."""
         if self.parts.peers:
             self.log(f"stats-peers {format_counts(self.parts.peers.metrics())}")
         if self.loop_metrics:
@@ -120,13 +120,13 @@
     # ------------------------------------------------------------ metrics
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return the metrics as of now."""
+        """Return the current values of all metrics."""
         from ..frontends.metrics import MetricsSnapshot
 
         parts = self.parts
         listed = parts.chat.endpoints
         disabled = set(parts.ejections.ejected_and_listed())
-        avoided = set(parts.chat.ejected_engines()) & listed.keys()
+        ejected = set(parts.chat.ejected_engines()) & listed.keys()
         draining = [
             entry
             for entry in listed.values()
@@ -138,23 +138,23 @@
             concurrent=sum(manager.unanswered() for manager in parts.managers),
             targets=len(listed),
             banned=len(disabled & listed.keys()),
-            avoided=len(avoided - disabled),
+            avoided=len(ejected - disabled),
             draining=len(draining),
             started=self.started_at / SECOND,
-            more=self.further_counts(),
+            more=self.additional_counts(),
             members=parts.membership.metrics() if parts.membership else {},
         )
 
     def reply_counts(self) -> dict[tuple[str, str], int]:
-        """Return the replies of all services by class and status."""
+        """Return the number of replies of all services, by class and status."""
         replies: dict[tuple[str, str], int] = {}
         for manager in self.parts.managers:
             for key, count in manager.reply_counts.items():
                 replies[key] = replies.get(key, 0) + count
         return replies
 
-    def further_counts(self) -> dict[str, int]:
-        """Return the counts of single parts by the names under which they are exported."""
+    def additional_counts(self) -> dict[str, int]:
+        """Return counts of individual parts by their exported names."""
         parts = self.parts
         counts: dict[str, int] = {}
         if parts.admin_socket:
@@ -170,20 +170,20 @@
         }
         for manager in parts.managers:
             for name, count in manager.counts.items():
-                if name.startswith(EXPORTED_COUNTS):
+                if name.startswith(EXPORTED_COUNT_PREFIXES):
                     key = name.replace("-", "_")
                     counts[key] = counts.get(key, 0) + count
         return counts
 
     def accept_errors(self) -> int:
-        """Return the number of errors of accepting connections, of all listeners."""
+        """Return the total number of accept errors of all listeners."""
         listeners = [frontend.listener for frontend in self.parts.frontends]
         return sum(sum(listener.accept_errors.values()) for listener in listeners)
 
     # ------------------------------------------------------------ administration API
 
     def status(self) -> dict[str, object]:
-        """Return what the administration API shows."""
+        """Return the status that the administration API shows."""
         return {
             "version": VERSION,
             "stopping": self.parts.stopping,
@@ -201,10 +201,10 @@
 
 
 def format_counts(counts: Mapping[str, object]) -> str:
-    """Return counts as they stand in a log line."""
+    """Format counts for a log line."""
     return " ".join(f"{name}={count}" for name, count in counts.items())
 
 
 def sorted_counts(counts: Mapping[str, object]) -> str:
-    """Return counts as they stand in a log line, sorted by name."""
+    """Format counts for a log line, sorted by name."""
     return format_counts(dict(sorted(counts.items())))
--- a/claycross/gateway/version.py
+++ b/claycross/gateway/version.py
@@ -1,3 +1,3 @@
-"""The version of the program."""
+"""The program version."""
 
 VERSION = "0.2.0"
