--- a/claycross/emulator/__init__.py
+++ b/claycross/emulator/__init__.py
@@ -1,3 +1,4 @@
-"""An emulator of engines: a model in virtual time, and what serves it on sockets. Not part of a
-gateway.
+"""An emulator of engines: a model in virtual time, and servers that make it reachable over HTTP.
+
+Gateways do not use it.
 """
--- a/claycross/emulator/engine_server.py
+++ b/claycross/emulator/engine_server.py
@@ -1,478 +1,495 @@
-"""The model on sockets and in real time: engines, discovery and a control address in one process,
-on our own loop.
+"""The emulated fleet in real time: its engines' HTTP servers, discovery and the control server.
 
-Owns the platform's words on the engines' side (statuses, leases, probes, reports, streams), the
-embeddings and rerank API, discovery's list and watch, and the troubles that can be asked for. It
-must never decide how long anything takes (`model.py` does), or answer for an engine whose process
-the model says is gone.
+All run in one process, on one event loop. The model (model.py) decides what happens and when; this
+module passes it requests and faults, and turns its events into answers of the platform's protocol:
+chat, embeddings and rerank, leases, probes and load reports. An engine whose process the model has
+ended answers nothing.
 """
 
 from __future__ import annotations
 
-import hashlib
 import json
-import random
 import time
 from collections import deque
 from collections.abc import Callable
 
-from ..net.http1 import Head
-from ..net.loop import MS, SECOND, ConnectionClosedError, EventLoop, Timer
-from .fleet_file import EngineKind, FleetFile
-from .http_servers import Exchange, Server
+from ..net.loop import MS, SECOND, EventLoop, Timer
+from .attempt_record import AttemptRecord
+from .discovery_server import JSON_CONTENT, DiscoveryServer, Target
+from .engine_answers import (
+    LAST_EVENT,
+    TOKENS_PER_EVENT,
+    EmulatedJob,
+    answer_text,
+    encode_embedding_answer,
+    encode_event,
+    encode_usage,
+    read_chat_request,
+    read_embedding_request,
+)
+from .fleet_file import EngineFault, EngineKind, FleetFile
+from .http_servers import Exchange, Headers, Server
 from .model import Engine, Fleet, Job, ModelEvent
 
-NEVER = ("X-Not-Processed", "1")
-EVERY = 4  # tokens in one event
-UNKNOWN_HOLD = 300 * MS  # until a hold for a request that nobody reads is answered
-WATCH_BEAT = 2 * SECOND
-SILENT_LOOK = 20 * MS  # between looks whether an engine that stands still goes on
-ATTEMPTS = 50_000  # kept for an audit
-JSON = ("Content-Type", "application/json")
-STATES = {False: "Ready", True: "Terminating"}
+NOT_PROCESSED = ("X-Not-Processed", "1")
+UNKNOWN_RESERVATION_DELAY_NS = 300 * MS  # until a reservation for an unknown request is answered
+SILENT_POLL_INTERVAL_NS = 20 * MS  # between checks whether a silent engine has resumed
+MAX_RECORDED_ATTEMPTS = 50_000  # kept for an audit
+CONTROL_MAX_CONNECTIONS = 16
+CONTROL_IDLE_TIMEOUT_NS = 60 * SECOND
+DEFAULT_SLOW_FACTOR = 4.0
+DEFAULT_SLOW_DURATION_S = 5.0
+STATE_READY = "Ready"
+STATE_TERMINATING = "Terminating"
+STATE_GONE = "Gone"
+MALFORMED_REQUEST_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
 class EmulatedFleet:
-    """The fleet, its clock tied to the loop's, and who waits for what of it."""
+    """The model of a fleet, driven by the event loop's clock, and the servers in front of it."""
 
     def __init__(self, loop: EventLoop, file: FleetFile, log: Callable[[str], None]):
-        self.loop, self.file, self.log = loop, file, log
-        self.fleet = Fleet(file.seed, file.ways(), file.error_rate)
+        self.loop = loop
+        self.file = file
+        self.log = log
+        self.model = Fleet(file.seed, file.ways(), file.error_rate)
         self.start = loop.now()
-        self.timer: Timer | None = None
+        self.timer: Timer | None = None  # for the model's next event
         self.servers: dict[str, EngineServer] = {}
-        self.discovery = DiscoveryServer(self)
+        self.discovery = DiscoveryServer(
+            loop,
+            (file.host, file.discovery_port),
+            lambda: [server.target() for server in self.servers.values()],
+        )
         self.control = ControlServer(self)
-        self.reads: dict[str, Job] = {}  # reads that are out, by request
-        # What engines took, for an audit: request, engine, role, class, from, to (s), what it
-        # brought, the
-        # time that it was told is left (ms), and when its last byte came.
-        self.attempts: deque[list[object]] = deque(maxlen=ATTEMPTS)
-        self.drains: dict[str, float] = {}  # engine -> when it was told to
+        self.pending_reads: dict[str, Job] = {}  # by request
+        self.attempts: deque[AttemptRecord] = deque(maxlen=MAX_RECORDED_ATTEMPTS)
+        self.drains: dict[str, float] = {}  # engine -> seconds since the start
         for kind in file.kind:
-            for n in range(kind.count):
-                self.add(kind, f"{kind.name}-{n}", n)
-        for trouble in file.trouble:
-            loop.call_later(
-                int(trouble.at_s * SECOND),
-                lambda t=trouble: self.inject(t.do, t.engine, t.times, t.for_s),
-            )
+            for number in range(kind.count):
+                self.add(kind, f"{kind.name}-{number}", number)
+        for fault in file.trouble:
+            self.schedule(fault)
 
-    def add(self, kind: EngineKind, name: str, n: int, cold: bool = False) -> None:
+    def add(self, kind: EngineKind, name: str, number: int, cold: bool = False) -> None:
+        """Add an engine; its number determines its zone and cell."""
         zones = self.file.zones
-        cell = n // len(zones) % self.file.cells
-        engine = self.fleet.add(name, kind.spec(), zones[n % len(zones)], cell, cold)
+        zone = zones[number % len(zones)]
+        cell = number // len(zones) % self.file.cells
+        engine = self.model.add(name, kind.spec(), zone, cell, cold)
         self.servers[name] = EngineServer(self, engine, kind)
 
-    def since(self) -> float:
-        """Seconds since the start."""
+    def elapsed_s(self) -> float:
+        """Return the seconds since the start, which are the model's time."""
         return (self.loop.now() - self.start) / SECOND
 
-    def pump(self) -> None:
-        """Lets the model come up to now; what it tells goes to those who wait."""
-        now = (self.loop.now() - self.start) / SECOND
-        for heard in self.fleet.advance(now):
-            owner = heard.job.owner
-            if owner:
-                owner.heard.append(heard)
-                owner.signal.set()
+    def advance(self) -> None:
+        """Advance the model to the present and pass its events to the tasks that wait for them."""
+        now = self.elapsed_s()
+        for event in self.model.advance(now):
+            exchange = event.job.owner
+            if isinstance(exchange, Exchange):
+                exchange.notify(event)
         if self.timer:
             self.timer.cancel()
-        due = self.fleet.next_due()
+        due = self.model.next_due()
         self.timer = (
-            None if due is None else self.loop.call_later(int((due - now) * SECOND), self.pump)
+            None if due is None else self.loop.call_later(int((due - now) * SECOND), self.advance)
         )
 
-    def inject(self, do: str, name: str, times: float = 4.0, span: float = 5.0) -> str:
-        """One trouble; what is wrong with it, or nothing."""
-        self.pump()
-        server = self.servers.get(name)
-        if do in ("stall", "go-on"):
-            self.discovery.stalled = do == "stall"
+    # ------------------------------------------------------------ faults
+
+    def schedule(self, fault: EngineFault) -> None:
+        """Carry out a fault of the fleet's file at its time."""
+
+        def inject_fault() -> None:
+            self.inject(fault.do, fault.engine, fault.times, fault.for_s)
+
+        self.loop.call_later(int(fault.at_s * SECOND), inject_fault)
+
+    def inject(
+        self,
+        action: str,
+        engine_name: str,
+        slow_factor: float = DEFAULT_SLOW_FACTOR,
+        duration_s: float = DEFAULT_SLOW_DURATION_S,
+    ) -> str:
+        """Carry out a fault or an operation; return why it is impossible, or ""."""
+        self.advance()
+        server = self.servers.get(engine_name)
+        if action in ("stall", "go-on"):
+            self.discovery.stalled = action == "stall"
         elif server is None:
-            return f"no engine {name!r}"
-        elif do == "slow":
-            self.fleet.slow_down(server.engine, times, span)
-        elif do == "kill":
-            self.fleet.kill(server.engine)
-            server.close()
-        elif do == "start":
-            self.fleet.restart(server.engine)
-            server.open()
-            self.discovery.tell(name)
-        elif do == "silent":
-            server.engine.condition = "silent"
-        elif do == "resume":
-            server.engine.condition = (
-                "up" if server.engine.condition == "silent" else server.engine.condition
-            )
-        elif do == "drain":
-            server.engine.draining = True
-            self.drains[name] = self.since()
-            self.discovery.tell(name)
-        elif do == "refuse":
-            server.engine.refuses = not server.engine.refuses
-        elif do == "replace":
-            self.fleet.kill(server.engine)
-            server.close()
-            self.discovery.tell(name, gone=True)
-            del self.servers[name]
-            fresh = f"{name}x"
-            self.add(server.kind, fresh, 0, cold=True)
-            self.discovery.tell(fresh)
+            return f"there is no engine {engine_name!r}"
+        elif action == "slow":
+            self.model.slow_down(server.engine, slow_factor, duration_s)
+        elif action in ENGINE_ACTIONS:
+            ENGINE_ACTIONS[action](self, server)
         else:
-            return f"no trouble {do!r}"
-        self.log(f"trouble do={do} engine={name}")
-        self.pump()
+            return f"unknown action {action!r}"
+        self.log(f"trouble do={action} engine={engine_name}")
+        self.advance()
         return ""
 
+    def kill(self, server: EngineServer) -> None:
+        """End the engine's process."""
+        self.model.kill(server.engine)
+        server.close()
+
+    def start_again(self, server: EngineServer) -> None:
+        """Start a new process of the engine."""
+        self.model.restart(server.engine)
+        server.open()
+        self.discovery.publish(server.target())
+
+    def silence(self, server: EngineServer) -> None:
+        """Make the engine accept requests without handling them."""
+        server.engine.condition = "silent"
+
+    def resume(self, server: EngineServer) -> None:
+        """Make a silent engine handle requests again."""
+        if server.engine.condition == "silent":
+            server.engine.condition = "up"
+
+    def drain(self, server: EngineServer) -> None:
+        """Announce that the engine terminates."""
+        server.engine.draining = True
+        self.drains[server.engine.name] = self.elapsed_s()
+        self.discovery.publish(server.target())
+
+    def toggle_refusal(self, server: EngineServer) -> None:
+        """Make the engine refuse all requests, or accept them again."""
+        server.engine.refuses = not server.engine.refuses
+
+    def replace(self, server: EngineServer) -> None:
+        """End the engine and start a new, cold one under another name."""
+        name = server.engine.name
+        self.kill(server)
+        self.discovery.publish(server.target() | {"state": STATE_GONE})
+        del self.servers[name]
+        successor = f"{name}x"
+        self.add(server.kind, successor, 0, cold=True)
+        self.discovery.publish(self.servers[successor].target())
+
+
+ENGINE_ACTIONS: dict[str, Callable[[EmulatedFleet, EngineServer], None]] = {
+    "kill": EmulatedFleet.kill,
+    "start": EmulatedFleet.start_again,
+    "silent": EmulatedFleet.silence,
+    "resume": EmulatedFleet.resume,
+    "drain": EmulatedFleet.drain,
+    "refuse": EmulatedFleet.toggle_refusal,
+    "replace": EmulatedFleet.replace,
+}
 
-class EngineServer(Server):
-    """One engine's address."""
 
-    def __init__(self, world: EmulatedFleet, engine: Engine, kind: EngineKind):
-        self.engine, self.kind = engine, kind
-        self.boot_ms = 0 if engine.capacity(world.fleet.now) >= 1 else time.time_ns() // MS
-        self.world = world
+class EngineServer(Server):
+    """The HTTP server of one engine."""
+
+    def __init__(self, emulated_fleet: EmulatedFleet, engine: Engine, kind: EngineKind):
+        self.emulated_fleet = emulated_fleet
+        self.model = emulated_fleet.model
+        self.file = emulated_fleet.file
+        self.engine = engine
+        self.kind = kind
+        # Unix time; 0 for engines that were warm when the emulator started.
+        self.boot_ms = 0 if engine.capacity(self.model.now) >= 1 else time.time_ns() // MS
         super().__init__(
-            world.loop,
-            (world.file.host, 0),
+            emulated_fleet.loop,
+            (self.file.host, 0),
             kind.connections,
-            int(world.file.idle_s * SECOND),
-            world.file.streams,
+            int(self.file.idle_s * SECOND),
+            self.file.streams,
         )
 
     def open(self) -> None:
+        """Listen, unless the server already does; a restarted engine gets a new boot time."""
         if self.listener is None and self.engine.epoch:
             self.boot_ms = time.time_ns() // MS
         super().open()
 
-    def target(self) -> dict[str, object]:
+    def target(self) -> Target:
+        """Return the engine's entry in the endpoint list."""
         return {
             "uid": self.engine.name,
             "endpoint": f"{self.address[0]}:{self.address[1]}",
             "az": self.engine.zone,
             "model": self.kind.name,
             "pod_group": self.engine.cell,
-            "state": STATES[self.engine.draining],
+            "state": STATE_TERMINATING if self.engine.draining else STATE_READY,
             "capacity_hint": 1.0,
             "boot_ms": self.boot_ms,
-            **({"protocol": "h2c"} if self.streams else {}),
+            **({"protocol": "h2c"} if self.max_streams else {}),
         }
 
-    def report(self) -> str:
+    def load_report(self) -> str:
+        """Return the value of the X-Server-Load header."""
         return ",".join(f"{name}={value:.3f}" for name, value in self.engine.report().items())
 
-    def one(self, ask: Exchange) -> None:
-        self.world.pump()
-        came = self.world.since()
-        if self.engine.condition != "up":
-            while self.engine.condition == "silent" and not ask.gone:
-                ask.next(SILENT_LOOK)  # it stands still: nothing is taken before it goes on
-            if ask.gone or self.engine.condition != "up":
-                return ask.cut()
-            self.world.pump()
-        head, path = ask.head, ask.head.target.partition("?")[0]
+    def load_report_headers(self) -> Headers:
+        """Return the load report as a header, unless the fleet's file turns reports off."""
+        return [("X-Server-Load", self.load_report())] if self.file.reports else []
+
+    def handle(self, exchange: Exchange) -> None:
+        """Answer one request."""
+        self.emulated_fleet.advance()
+        arrived_s = self.emulated_fleet.elapsed_s()
+        if not self.wait_until_up(exchange):
+            exchange.abort()
+            return
+        path = exchange.head.target.partition("?")[0]
         if path.startswith("/kv/leases/"):
-            return self.lease(ask, head.method, path.rpartition("/")[2])
-        if path in ("/-/healthy", "/-/load"):
-            if not self.world.file.probes:
-                return ask.whole(404)
-            return ask.whole(200, [], self.report().encode())
-        if head.method != "POST" or path not in PATHS:
-            return ask.whole(404)
-        if not (key := head.get("x-request-id")):
-            return ask.whole(404)
-        try:
-            job = PATHS[path](self, key, head, ask.body)
-        except (ValueError, KeyError, TypeError, AttributeError):
-            return ask.whole(400)
-        if (job.engine_role == "embed") != (self.engine.spec.role == "embed"):
-            return ask.whole(404)
-        self.work(ask, job, came)
-
-    def lease(self, ask: Exchange, method: str, key: str) -> None:
-        if method == "DELETE":
-            self.world.fleet.release(key)
-            self.world.pump()
-            return ask.whole(204)
-        if method != "POST" or not self.world.file.holds:
-            return ask.whole(404)
-        if (job := self.world.reads.get(key)) is None:
-            self.loop.sleep(UNKNOWN_HOLD)
-            return ask.whole(204)
-        held = self.world.fleet.hold(self.engine, key, job.prompt)
-        ask.whole(200 if held else 409)
+            self.handle_lease(exchange, path.rpartition("/")[2])
+        elif path in ("/-/healthy", "/-/load"):
+            self.handle_probe(exchange)
+        elif exchange.head.method == "POST" and path in JOB_READERS:
+            self.handle_attempt(exchange, path, arrived_s)
+        else:
+            exchange.respond(404)
+
+    def wait_until_up(self, exchange: Exchange) -> bool:
+        """Wait while the engine is silent; return whether it is up and the client still there."""
+        if self.engine.condition == "up":
+            return True
+        while self.engine.condition == "silent" and not exchange.client_gone:
+            exchange.next_event(SILENT_POLL_INTERVAL_NS)
+        if exchange.client_gone or self.engine.condition != "up":
+            return False
+        self.emulated_fleet.advance()
+        return True
+
+    def handle_probe(self, exchange: Exchange) -> None:
+        """Answer a health probe with the load report."""
+        if self.file.probes:
+            exchange.respond(200, [], self.load_report().encode())
+        else:
+            exchange.respond(404)
+
+    def handle_lease(self, exchange: Exchange, request_id: str) -> None:
+        """Release what is held for a request, or reserve a slot and memory for it."""
+        if exchange.head.method == "DELETE":
+            self.model.release(request_id)
+            self.emulated_fleet.advance()
+            exchange.respond(204)
+            return
+        if exchange.head.method != "POST" or not self.file.holds:
+            exchange.respond(404)
+            return
+        if (read := self.emulated_fleet.pending_reads.get(request_id)) is None:
+            self.loop.sleep(UNKNOWN_RESERVATION_DELAY_NS)
+            exchange.respond(204)
+            return
+        reserved = self.model.hold(self.engine, request_id, read.prompt)
+        exchange.respond(200 if reserved else 409)
 
     # ------------------------------------------------------------ attempts
 
-    def chat(self, key: str, head: Head, body: bytes) -> EmulatedJob:
-        attrs = dict(
-            pair.strip().partition("=")[::2] for pair in head.get("x-attrs").split(",") if pair
-        )
-        prompt, most = (
-            max(1, int(attrs.get("prompt_len") or 1)),
-            max(1, int(attrs.get("max_out") or 1)),
-        )
-        rng = random.Random(f"{self.world.file.seed} {key}")  # the same answer at whichever engine
-        mean = min(self.world.file.output_tokens, most)
-        output = max(1, min(most, int(rng.lognormvariate(0, 0.6) * mean)))
-        return EmulatedJob(
-            key,
-            prompt,
-            output,
-            head.get("x-route-key"),
-            attrs.get("prefix", ""),
-            min(prompt, int(attrs.get("prefix_len") or 0)),
-        )
+    def chat_job(self, request_id: str, exchange: Exchange) -> EmulatedJob:
+        """Return the job of a chat request."""
+        return read_chat_request(self.file, request_id, exchange.head)
+
+    def embedding_job(self, request_id: str, exchange: Exchange) -> EmulatedJob:
+        """Return the job of an embeddings or rerank request."""
+        return read_embedding_request(request_id, exchange.body)
+
+    def handle_attempt(self, exchange: Exchange, path: str, arrived_s: float) -> None:
+        """Read the request, and run its job if the engine has the role for it."""
+        if not (request_id := exchange.head.get("x-request-id")):
+            exchange.respond(404)
+            return
+        try:
+            job = JOB_READERS[path](self, request_id, exchange)
+        except MALFORMED_REQUEST_ERRORS:
+            exchange.respond(400)
+            return
+        if job.is_embedding == (self.engine.spec.role == "embed"):
+            self.run_job(exchange, job, arrived_s)
+        else:
+            exchange.respond(404)
 
-    def embed(self, key: str, head: Head, body: bytes) -> EmulatedJob:
-        parsed = json.loads(body)
-        texts = parsed.get("documents") or parsed["input"]
-        texts = texts if isinstance(texts, list) and not isinstance(texts[0], int) else [texts]
-        size = sum(len(json.dumps(t)) for t in texts) + len(texts) * len(parsed.get("query") or "")
-        asked = EmulatedJob(key, max(1, size // 4))
-        asked.engine_role, asked.asked, asked.texts = "embed", parsed, texts
-        return asked
-
-    def work(self, ask: Exchange, job: EmulatedJob, came: float) -> None:
-        """Sends it to the model, and says on the wire what the model tells. `came`: when its last
-        byte did, which an engine that stands still takes later.
+    def run_job(self, exchange: Exchange, job: EmulatedJob, arrived_s: float) -> None:
+        """Run the job in the model and send its result.
+
+        Args:
+            exchange: The request, which owns the job.
+            job: The job.
+            arrived_s: When the request's last byte arrived, in seconds since the start; a silent
+                engine handles the request later.
         """
-        job.owner = ask
+        job.owner = exchange
+        pending_reads = self.emulated_fleet.pending_reads
         if self.engine.spec.role == "read":
-            self.world.reads[job.key] = job
-        record: list[object] = [
+            pending_reads[job.key] = job
+        timeout_ms = int(exchange.head.get("x-timeout-ms") or 0)
+        record = AttemptRecord(
             job.key,
             self.engine.name,
             self.engine.spec.role,
-            ask.head.get("x-priority-class"),
-            self.world.since(),
-            0.0,
-            "",
-            int(ask.head.get("x-timeout-ms") or 0),
-            came,
-        ]
-        self.world.attempts.append(record)
-        self.world.fleet.send(self.engine, job)
-        self.world.pump()
-        report = [("X-Server-Load", self.report())] if self.world.file.reports else []
+            exchange.head.get("x-priority-class"),
+            self.emulated_fleet.elapsed_s(),
+            timeout_ms,
+            arrived_s,
+        )
+        self.emulated_fleet.attempts.append(record)
+        self.model.send(self.engine, job)
+        self.emulated_fleet.advance()
+        load = self.load_report_headers()
         try:
-            heard: ModelEvent | None = ask.next(int(ask.head.get("x-timeout-ms") or 0) * MS)
-            if heard is None and not ask.gone:
-                return ask.whole(504, [NEVER] if job.at == "queued" else [])
-            record[6] = heard.what if heard else "gone"
-            match record[6]:
-                case "read":
-                    ask.whole(202, report, b'{"cached_tokens":%d}' % heard.kept)
-                case "full":
-                    ask.whole(503, [NEVER, *report])
-                case "stateless":
-                    ask.whole(410, [NEVER, *report])
-                case "error":
-                    ask.whole(500)
-                case "embedded":
-                    ask.whole(200, [JSON, *report], encode_vectors(job, self.world.file.dimensions))
-                case "first" | "ok":
-                    self.stream(ask, job, heard)
-                case _:
-                    ask.cut()
+            event: ModelEvent | None = exchange.next_event(timeout_ms * MS)
+            if event:
+                record.outcome = event.what
+                self.send_result(exchange, job, event, load)
+            elif exchange.client_gone:
+                record.outcome = "gone"
+                exchange.abort()
+            else:
+                exchange.respond(504, [NOT_PROCESSED] if job.at == "queued" else [])
         finally:
-            self.world.reads.pop(job.key, None)
-            record[5] = self.world.since()
+            pending_reads.pop(job.key, None)
+            record.ended_s = self.emulated_fleet.elapsed_s()
             if job.at != "over":
-                self.world.fleet.cancel(job)
-                self.world.pump()
-
-    def stream(self, ask: Exchange, job: EmulatedJob, heard: ModelEvent | None) -> None:
-        text = "".join(random.Random(job.key).choices("abcdefghijklmnopqrstuvwxyz", k=4 * EVERY))
-        ask.begin([("Content-Type", "text/event-stream")])
-        tokens, ready = 0, 1
-        while heard:
-            if heard.what in ("reset", "stateless", "error"):
-                return ask.cut()
+                self.model.cancel(job)
+                self.emulated_fleet.advance()
+
+    def send_result(
+        self, exchange: Exchange, job: EmulatedJob, event: ModelEvent, load: Headers
+    ) -> None:
+        """Send the answer that the model's first event of the job calls for.
+
+        Args:
+            exchange: The request.
+            job: Its job.
+            event: The event.
+            load: Headers with the load report of when the job was sent to the model.
+        """
+        match event.what:
+            case "read":
+                exchange.respond(202, load, b'{"cached_tokens":%d}' % event.kept)
+            case "full":
+                exchange.respond(503, [NOT_PROCESSED, *load])
+            case "stateless":
+                exchange.respond(410, [NOT_PROCESSED, *load])
+            case "error":
+                exchange.respond(500)
+            case "embedded":
+                body = encode_embedding_answer(job, self.file.dimensions)
+                exchange.respond(200, [JSON_CONTENT, *load], body)
+            case "first" | "ok":
+                self.send_stream(exchange, job, event)
+            case _:
+                exchange.abort()
+
+    def send_stream(self, exchange: Exchange, job: EmulatedJob, first: ModelEvent) -> None:
+        """Stream an answer of tokens, an event for each TOKENS_PER_EVENT of them."""
+        text = answer_text(job.key)
+        exchange.begin_stream([("Content-Type", "text/event-stream")])
+        event: ModelEvent | None = first
+        tokens = 0
+        next_event_at = 1  # token
+        while event and event.what not in ("reset", "stateless", "error"):
             tokens += 1
-            if heard.what == "ok":
-                break
-            if tokens >= ready:
-                ready = tokens + EVERY
-                ask.piece(encode_event({"content": text}))
-            heard = ask.next()
-        if heard is None:
-            return ask.cut()
-        usage = {
-            "prompt_tokens": job.prompt,
-            "completion_tokens": job.output,
-            "prompt_tokens_details": {"cached_tokens": heard.kept},
-        }
-        last = (
-            encode_event({}, "stop")
-            + b'data: {"choices":[],"usage":%b}\n\n' % json.dumps(usage).encode()
-        )
-        if self.world.file.reports:
-            last += b": X-Server-Load: %b\n\n" % self.report().encode()
-        ask.piece(last + b"data: [DONE]\n\n")
-        ask.end()
-
-
-class EmulatedJob(Job):
-    """A job with what its answer needs."""
+            if event.what == "ok":
+                self.send_stream_end(exchange, job, event)
+                return
+            if tokens >= next_event_at:
+                next_event_at = tokens + TOKENS_PER_EVENT
+                exchange.send_chunk(encode_event({"content": text}))
+            event = exchange.next_event()
+        exchange.abort()
+
+    def send_stream_end(self, exchange: Exchange, job: EmulatedJob, last: ModelEvent) -> None:
+        """Send the finish reason, the usage and, as a comment, the load report."""
+        data = encode_event({}, "stop") + encode_usage(job, last.kept)
+        if self.file.reports:
+            data += b": X-Server-Load: %b\n\n" % self.load_report().encode()
+        exchange.send_chunk(data + LAST_EVENT)
+        exchange.end_stream()
+
+
+JOB_READERS: dict[str, Callable[[EngineServer, str, Exchange], EmulatedJob]] = {
+    "/v1/chat/completions": EngineServer.chat_job,
+    "/v1/embeddings": EngineServer.embedding_job,
+    "/v1/rerank": EngineServer.embedding_job,
+}
 
-    engine_role, asked, texts = "chat", {}, ()
 
+class ControlServer(Server):
+    """Injects faults, and tells the state of the fleet to audits.
 
-PATHS: dict[str, Callable[[EngineServer, str, Head, bytes], EmulatedJob]] = {
-    "/v1/chat/completions": EngineServer.chat,
-    "/v1/embeddings": EngineServer.embed,
-    "/v1/rerank": EngineServer.embed,
-}
+    POST /trouble {"do": "kill", "engine": "p-0"}; GET /state; GET /audit.
+    """
 
+    def __init__(self, emulated_fleet: EmulatedFleet):
+        self.emulated_fleet = emulated_fleet
+        self.model = emulated_fleet.model
+        listen = (emulated_fleet.file.host, emulated_fleet.file.control_port)
+        super().__init__(
+            emulated_fleet.loop, listen, CONTROL_MAX_CONNECTIONS, CONTROL_IDLE_TIMEOUT_NS
+        )
 
-def encode_event(delta: dict[str, str], reason: str | None = None) -> bytes:
-    """One event; `at`, which no client needs, lets one on this machine tell how long it was under
-    way.
-    """
-    body = {
-        "choices": [{"index": 0, "delta": delta, "finish_reason": reason}],
-        "at": time.monotonic(),
-    }
-    return b"data: %b\n\n" % json.dumps(body, separators=(",", ":")).encode()
-
-
-def encode_vectors(job: EmulatedJob, size: int) -> bytes:
-    """Embeddings or scores that depend on the texts alone."""
-
-    def numbers(text: object, count: int) -> list[float]:
-        rng = random.Random(hashlib.sha256(json.dumps(text).encode()).digest())
-        return [round(rng.uniform(-1, 1), 6) for _ in range(count)]
-
-    if "documents" in job.asked:
-        scored = [(numbers([job.asked["query"], t], 1)[0], n) for n, t in enumerate(job.texts)]
-        scored = sorted(scored, reverse=True)[: job.asked.get("top_n")]
-        body = {
-            "model": job.asked["model"],
-            "results": [{"index": n, "relevance_score": round((s + 1) / 2, 6)} for s, n in scored],
+    def handle(self, exchange: Exchange) -> None:
+        """Answer one request."""
+        match exchange.head.method, exchange.head.target:
+            case "GET", "/state":
+                self.emulated_fleet.advance()
+                self.model.check()
+                exchange.respond(200, [JSON_CONTENT], json.dumps(self.fleet_state()).encode())
+            case "GET", "/audit":
+                self.emulated_fleet.advance()
+                exchange.respond(200, [JSON_CONTENT], json.dumps(self.audit_log()).encode())
+            case "POST", "/trouble":
+                error = self.inject(exchange.body)
+                exchange.respond(400 if error else 204, [], error.encode())
+            case _:
+                exchange.respond(404)
+
+    def inject(self, body: bytes) -> str:
+        """Carry out the fault that a request describes; return why it is impossible, or ""."""
+        try:
+            fault = json.loads(body)
+            return self.emulated_fleet.inject(
+                str(fault["do"]),
+                str(fault.get("engine", "")),
+                float(fault.get("times", DEFAULT_SLOW_FACTOR)),
+                float(fault.get("for_s", DEFAULT_SLOW_DURATION_S)),
+            )
+        except MALFORMED_REQUEST_ERRORS as err:
+            return f"{type(err).__name__} {err}"
+
+    def fleet_state(self) -> dict[str, object]:
+        """Return the present state of the engines, and counts of what happened."""
+        engines = {
+            name: {
+                "condition": server.engine.condition,
+                "draining": server.engine.draining,
+                "connections": len(server.connections),
+                "counts": dict(server.engine.counts),
+                **server.engine.report(),
+            }
+            for name, server in self.emulated_fleet.servers.items()
         }
-    else:
-        data = [
-            {"object": "embedding", "index": n, "embedding": numbers(t, size)}
-            for n, t in enumerate(job.texts)
-        ]
-        body = {
-            "object": "list",
-            "model": job.asked["model"],
-            "data": data,
-            "usage": {"prompt_tokens": job.prompt, "total_tokens": job.prompt},
+        return {
+            "engines": engines,
+            "counts": dict(self.model.counts),
+            "states": len(self.model.states),
         }
-    return json.dumps(body).encode()
-
-
-class DiscoveryServer(Server):
-    """The list of engines: whole, or as a watch."""
-
-    def __init__(self, world: EmulatedFleet):
-        self.rev, self.changes, self.stalled = 1, [], False
-        self.watches: set[Exchange] = set()
-        self.world = world
-        super().__init__(world.loop, (world.file.host, world.file.discovery_port), 256, 60 * SECOND)
-
-    def tell(self, name: str, gone: bool = False) -> None:
-        """A change of one engine."""
-        self.rev += 1
-        target = self.world.servers[name].target() | ({"state": "Gone"} if gone else {})
-        self.changes.append((self.rev, target))
-        del self.changes[:-1000]
-        if not self.stalled:
-            for ask in self.watches:
-                ask.heard.append({"rev": self.rev, "all": False, "targets": [target]})
-                ask.signal.set()
-
-    def say(self, ask: Exchange, message: dict[str, object] | None) -> None:
-        try:
-            ask.piece((json.dumps(message).encode() if message else b"") + b"\n")
-        except ConnectionClosedError:
-            ask.leave()
 
-    def whole(self) -> dict[str, object]:
+    def audit_log(self) -> dict[str, object]:
+        """Return what an audit needs; `monotonic` relates its times to the machine's clock."""
         return {
-            "rev": self.rev,
-            "all": True,
-            "targets": [s.target() for s in self.world.servers.values()],
+            "now": self.emulated_fleet.elapsed_s(),
+            "monotonic": time.monotonic(),
+            "attempts": [record.as_row() for record in self.emulated_fleet.attempts],
+            "drains": self.emulated_fleet.drains,
+            "fell": self.model.counts["fell"],
+            "states": list(self.model.states),
+            "held": self.held_states(),
         }
 
-    def one(self, ask: Exchange) -> None:
-        path, _, query = ask.head.target.partition("?")
-        if path != "/api/targets":
-            return ask.whole(404)
-        if "watch=1" not in query.split("&"):
-            return ask.whole(200, [JSON], json.dumps(self.whole()).encode())
-        ask.begin([JSON])
-        ask.heard.append(self.whole())  # and what changes from now on, in turn
-        self.watches.add(ask)
-        try:
-            while not ask.gone:
-                message = ask.next(WATCH_BEAT)
-                if not ask.gone and (message or not self.stalled):
-                    self.say(ask, message)
-        finally:
-            self.watches.discard(ask)
-            ask.cut()
-
-
-class ControlServer(Server):
-    """POST /trouble {"do": "kill", "engine": "p-0"}; GET /state; GET /audit."""
-
-    def __init__(self, world: EmulatedFleet):
-        self.world = world
-        super().__init__(world.loop, (world.file.host, world.file.control_port), 16, 60 * SECOND)
-
-    def held(self) -> list[tuple[str, str, float, float]]:
-        """Every state that was or is held: request, reader, from and to."""
-        fleet, now = self.world.fleet, self.world.since()
-        return [*fleet.held, *((s.key, s.reader.name, s.since, now) for s in fleet.states.values())]
-
-    def one(self, ask: Exchange) -> None:
-        if ask.head.method == "GET" and ask.head.target == "/state":
-            self.world.pump()
-            self.world.fleet.check()
-            engines = {
-                name: {
-                    "condition": s.engine.condition,
-                    "draining": s.engine.draining,
-                    "connections": len(s.conns),
-                    "counts": dict(s.engine.counts),
-                    **s.engine.report(),
-                }
-                for name, s in self.world.servers.items()
-            }
-            found = {
-                "engines": engines,
-                "counts": dict(self.world.fleet.counts),
-                "states": len(self.world.fleet.states),
-            }
-            return ask.whole(200, [JSON], json.dumps(found).encode())
-        if ask.head.method == "GET" and ask.head.target == "/audit":
-            self.world.pump()
-            found = {
-                "now": self.world.since(),
-                "monotonic": time.monotonic(),
-                "attempts": list(self.world.attempts),
-                "drains": self.world.drains,
-                "fell": self.world.fleet.counts["fell"],
-                "states": list(self.world.fleet.states),
-                "held": self.held(),
-            }
-            return ask.whole(200, [JSON], json.dumps(found).encode())
-        if ask.head.method != "POST" or ask.head.target != "/trouble":
-            return ask.whole(404)
-        try:
-            asked = json.loads(ask.body)
-            wrong = self.world.inject(
-                str(asked["do"]),
-                str(asked.get("engine", "")),
-                float(asked.get("times", 4)),
-                float(asked.get("for_s", 5)),
-            )
-        except (ValueError, KeyError, TypeError, AttributeError) as err:
-            wrong = f"{type(err).__name__} {err}"
-        ask.whole(400 if wrong else 204, [], wrong.encode())
+    def held_states(self) -> list[tuple[str, str, float, float]]:
+        """Return all states that are or were held: request, reader, from and to."""
+        now = self.emulated_fleet.elapsed_s()
+        present = [
+            (state.key, state.reader.name, state.since, now) for state in self.model.states.values()
+        ]
+        return [*self.model.held, *present]
