--- a/claycross/fleet/load_aggregation.py
+++ b/claycross/fleet/load_aggregation.py
@@ -9,8 +9,9 @@
 
 A snapshot stands for all that its sender has at that shard, so a lost one is repaired by the next,
 and a new process's first voids those of its predecessor. An aggregator that has just taken its
-lease says so (FRESH): its sums are void until the others' snapshots are in, and the earlier sums
-stand meanwhile. One that will end says so (LEAVING), and its lease passes on at once.
+lease announces that (LEASE_TAKEN): it has no sums until the others' snapshots are in, and the
+earlier sums are used meanwhile. One that shuts down announces that (LEASE_RELEASED), and its lease
+passes on at once.
 
 Sums are hints: what is lost, late, duplicated or from a dead gateway changes them for a bounded
 time and nothing else. No I/O and no clock.
@@ -37,10 +38,10 @@
 VERSION = 1
 # Kinds of datagrams, by their number on the wire.
 SNAPSHOT = 1  # the sender's own work
-ASKING = 2  # a snapshot whose sender wants all sums
+SUMS_REQUEST = 2  # a snapshot whose sender wants all sums
 SUMS = 3  # of an aggregator
-FRESH = 4  # of an aggregator that has just taken its lease
-LEAVING = 5  # of an aggregator that releases its lease
+LEASE_TAKEN = 4  # of an aggregator that has just taken its lease
+LEASE_RELEASED = 5  # of an aggregator that releases its lease
 HEAD = 6  # bytes of content before the entries
 ENTRY = 3  # bytes of content of one entry
 TAG = 2  # bytes of content of one tag
@@ -97,7 +98,7 @@
     shard: int
     sequence: int
     work: dict[tuple[int, int], int]
-    blamed: tuple[int, ...]
+    failed_engines: tuple[int, ...]
 
 
 def decode(payload: bytes) -> LoadMessage | None:
@@ -105,7 +106,7 @@
     content = unpack(payload, MARK)
     if content is None or len(content) < HEAD or content[0] != VERSION:
         return None
-    if not SNAPSHOT <= content[1] <= LEAVING:
+    if not SNAPSHOT <= content[1] <= LEASE_RELEASED:
         return None
     read_count = content[4]
     entry_count = read_count + content[5]
@@ -261,7 +262,7 @@
             held = shard.lease.is_held_here
             if shard.lease.expire(now):
                 if held:  # this process will end
-                    yield ALL_GATEWAYS, self.message(LEAVING, shard, {})
+                    yield ALL_GATEWAYS, self.message(LEASE_RELEASED, shard, {})
                 self.new_holder(shard, now)
             if shard.lease.is_held_here:
                 yield from self.collect(shard, now)
@@ -290,7 +291,7 @@
         shard.told = self.own(shard)
         shard.last = now
         shard.changed = False
-        kind = ASKING if shard.asks else SNAPSHOT
+        kind = SUMS_REQUEST if shard.asks else SNAPSHOT
         shard.asks = False
         return self.message(kind, shard, shard.told, self.failures(shard, now))
 
@@ -333,7 +334,7 @@
         shard.looked = now
         shard.changed = False
         if now - shard.began < COLLECT:
-            yield ALL_GATEWAYS, self.message(FRESH, shard, {})
+            yield ALL_GATEWAYS, self.message(LEASE_TAKEN, shard, {})
             return
         shard.snapshots[self.gateway_number] = (now, self.own(shard))
         for tag in self.failures(shard, now):
@@ -401,10 +402,10 @@
         if message is None or not is_other_gateway or message.shard >= self.shard_count:
             return []
         shard = self.shards[message.shard]
-        if message.kind in (SNAPSHOT, ASKING):
+        if message.kind in (SNAPSHOT, SUMS_REQUEST):
             self.handle_snapshot(now, sender, shard, message)
             return []
-        if message.kind == LEAVING:
+        if message.kind == LEASE_RELEASED:
             if shard.lease.released_by(sender, now):
                 self.new_holder(shard, now)
             return []
@@ -412,12 +413,12 @@
 
     def handle_snapshot(self, now: int, sender: int, shard: Shard, message: LoadMessage) -> None:
         """Another gateway's own work: kept, and answered with all sums if it asks for them."""
-        asks_for_sums = message.kind == ASKING
+        asks_for_sums = message.kind == SUMS_REQUEST
         if shard.stale(sender, message.sequence, now, asks_for_sums):
             return
         work = {key: float(from_scale(size)) for key, size in message.work.items()}
         shard.snapshots[sender] = (now, work)
-        for tag in message.blamed:
+        for tag in message.failed_engines:
             self.accuse(shard, sender, tag, now)
         if asks_for_sums and shard.knows(now):
             announced = {key: size for key, (size, _) in shard.shown.items()}
@@ -432,14 +433,14 @@
         if shard.lease.holder != sender:
             return []
         shard.heard = now
-        if message.kind == FRESH and not shard.anew:
+        if message.kind == LEASE_TAKEN and not shard.anew:
             # A new process, or one that was paused, took its lease back.
             shard.begin_anew()
         if message.kind == SUMS:
             self.apply_sums(now, shard, message)
-        for tag in message.blamed:
+        for tag in message.failed_engines:
             self.failure_reports[tag] = dict.fromkeys(range(VOICES), now)
-        return list(message.blamed)
+        return list(message.failed_engines)
 
     def apply_sums(self, now: int, shard: Shard, message: LoadMessage) -> None:
         """Adopts the sums that the aggregator announced, except where a later one came first."""
--- a/claycross/fleet/load_gossip.py
+++ b/claycross/fleet/load_gossip.py
@@ -1,11 +1,11 @@
 """Load gossip: the work that other gateways have in flight at each engine.
 
-A payload holds load updates one behind the other, most significant byte first. Each starts with 16
-bits: a kind (2 bits) and the sender's number for the piece of work (14 bits, wrapping around). READ
-and WRITE continue with an engine (16 bits of a hash of its id: two that share one share their sums)
-and a size (8 bits, an eighth of a power of two each); sent for a number in use, they replace the
-earlier update. OVER stands alone; with FORGET as number it voids all that the sender announced
-before. BAD, a failure report, has an engine and a size, too.
+A payload is a sequence of load updates, most significant byte first. Each starts with 16 bits: a
+kind (2 bits) and the sender's number for the piece of work (14 bits, wrapping around). READ and
+WRITE continue with an engine's tag (16 bits of a hash of its id: two that share one share their
+sums) and a size (8 bits, an eighth of a power of two each); sent for a number in use, they replace
+the earlier update. WORK_ENDED has no more fields; with SENDER_STARTED as number it voids all that
+the sender announced before. ENGINE_FAILED, a failure report, has a tag and a size, too.
 
 Updates are hints: what is lost, late, duplicated or from a dead gateway changes the sums for a
 bounded time and nothing else.
@@ -19,13 +19,13 @@
 from ..interface import ALL_GATEWAYS, FULL_GOSSIP_LIMIT
 
 # Kinds of load updates, by their number on the wire.
-OVER = 0  # the work has ended
+WORK_ENDED = 0  # the work has ended
 READ = 1
 WRITE = 2
-BAD = 3  # a failure report
-FORGET = 0x3FFF  # as number: the sender has just started
+ENGINE_FAILED = 3  # a failure report
+SENDER_STARTED = 0x3FFF  # as number: the sender has just started
 KIND_SHIFT = 14  # bits of the number below the kind
-HEAD_SIZE = 2  # bytes of an update's kind and number, and of all of OVER
+HEAD_SIZE = 2  # bytes of an update's kind and number, and of all of WORK_ENDED
 UPDATE_SIZE = 5  # bytes of an update of any other kind
 MOST = 240  # bytes of one payload; a datagram takes 256
 STEPS = 8  # of the size's scale for each doubling
@@ -55,8 +55,8 @@
 
 def encode(kind: int, number: int, tag: int = 0, size: float = 0.0) -> bytes:
     """Encodes one load update."""
-    head = (kind << KIND_SHIFT | number & FORGET).to_bytes(HEAD_SIZE)
-    if kind == OVER:
+    head = (kind << KIND_SHIFT | number & SENDER_STARTED).to_bytes(HEAD_SIZE)
+    if kind == WORK_ENDED:
         return head
     return head + tag.to_bytes(2) + bytes([to_scale(size)])
 
@@ -67,8 +67,8 @@
     while start + HEAD_SIZE <= len(payload):
         head = int.from_bytes(payload[start : start + HEAD_SIZE])
         kind = head >> KIND_SHIFT
-        number = head & FORGET
-        if kind == OVER:
+        number = head & SENDER_STARTED
+        if kind == WORK_ENDED:
             yield kind, number, 0, 0
             start += HEAD_SIZE
         elif start + UPDATE_SIZE <= len(payload):
@@ -97,7 +97,7 @@
         self.log_messages: list[str] = []  # for the log
         self.last = 0  # number of the last work that was announced
         self.mine: dict[int, int] = {}  # request -> its number
-        self.queue = bytearray(encode(OVER, FORGET))  # updates to be sent at once
+        self.queue = bytearray(encode(WORK_ENDED, SENDER_STARTED))  # updates to be sent at once
         self.later = bytearray()  # ends of work, which wait for other updates
         self.since = 0  # when the first of them began to wait
 
@@ -118,7 +118,7 @@
         """
         number = self.mine.get(request)
         if number is None:
-            self.last = (self.last + 1) % FORGET
+            self.last = (self.last + 1) % SENDER_STARTED
             number = self.last
             self.mine[request] = number
         self.queue += encode(kind, number, self.tag(engine), size)
@@ -127,11 +127,11 @@
         """A request is no longer in flight."""
         number = self.mine.pop(request, None)
         if number is not None:
-            self.later += encode(OVER, number)
+            self.later += encode(WORK_ENDED, number)
 
     def report_failure(self, engine: str) -> None:
         """An attempt at the engine failed."""
-        self.queue += encode(BAD, 0, self.tag(engine), 1)
+        self.queue += encode(ENGINE_FAILED, 0, self.tag(engine), 1)
 
     def outgoing(self, now: int) -> Iterator[tuple[int, bytes]]:
         """The payloads to be sent now, each with its addressee (ALL_GATEWAYS)."""
@@ -146,7 +146,7 @@
         while queue:
             size = 0
             for kind, *_ in decode(queue[:MOST]):
-                size += HEAD_SIZE if kind == OVER else UPDATE_SIZE
+                size += HEAD_SIZE if kind == WORK_ENDED else UPDATE_SIZE
             yield ALL_GATEWAYS, queue[:size]
             queue = queue[size:]
 
@@ -167,16 +167,16 @@
         blamed = []
         sender_updates = self.updates.setdefault(sender, {})
         for kind, number, tag, size in decode(payload):
-            if kind == BAD:
+            if kind == ENGINE_FAILED:
                 self.failure_reports.setdefault(tag, {})[sender] = now
                 blamed.append(tag)
                 continue
-            if number == FORGET:
+            if number == SENDER_STARTED:
                 for outdated in list(sender_updates):
                     self.drop(sender_updates, outdated)
                 continue
             self.drop(sender_updates, number)
-            if kind != OVER and len(sender_updates) < OUTSTANDING:
+            if kind != WORK_ENDED and len(sender_updates) < OUTSTANDING:
                 sender_updates[number] = (kind, tag, size, now)
                 self.sums[kind, tag] = self.sums.get((kind, tag), 0.0) + size
         return blamed
--- a/tests/contract/test_datagrams.py
+++ b/tests/contract/test_datagrams.py
@@ -38,13 +38,13 @@
 NOTES = {
     "read": (load_gossip.READ, 17, 0xBEEF, 3000.0),
     "write": (load_gossip.WRITE, 16382, 1, 250_000.0),
-    "over": (load_gossip.OVER, 17, 0, 0.0),
-    "forget": (load_gossip.OVER, load_gossip.FORGET, 0, 0.0),
-    "bad": (load_gossip.BAD, 0, 0xFFFF, 1.0),
+    "over": (load_gossip.WORK_ENDED, 17, 0, 0.0),
+    "forget": (load_gossip.WORK_ENDED, load_gossip.SENDER_STARTED, 0, 0.0),
+    "bad": (load_gossip.ENGINE_FAILED, 0, 0xFFFF, 1.0),
 }
 LOADS = {
     "snapshot": (load_aggregation.SNAPSHOT, 0, 7, [(1, 90), (0xFFFF, 255)], [(2, 100)], [5, 6]),
-    "asking": (load_aggregation.ASKING, 1, 255, [], [(40000, 3)], []),
+    "asking": (load_aggregation.SUMS_REQUEST, 1, 255, [], [(40000, 3)], []),
     "sums": (
         load_aggregation.SUMS,
         2,
@@ -53,8 +53,8 @@
         [(n, 0) for n in range(20)],
         [9],
     ),
-    "fresh": (load_aggregation.FRESH, 0, 1, [], [], []),
-    "leaving": (load_aggregation.LEAVING, 0, 2, [], [], []),
+    "fresh": (load_aggregation.LEASE_TAKEN, 0, 1, [], [], []),
+    "leaving": (load_aggregation.LEASE_RELEASED, 0, 2, [], [], []),
 }
 
 
@@ -105,4 +105,4 @@
     work = {(load_gossip.READ, tag): size for tag, size in reads}
     work |= {(load_gossip.WRITE, tag): size for tag, size in writes}
     assert found.work == work
-    assert list(found.blamed) == blamed
+    assert list(found.failed_engines) == blamed
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -9,7 +9,7 @@
 
 from claycross import interface as i
 from claycross.fleet import load_aggregation
-from claycross.fleet.load_gossip import BAD, READ, decode
+from claycross.fleet.load_gossip import ENGINE_FAILED, READ, decode
 from claycross.net.loop import Timer
 from claycross.requests.manager import RequestManager
 from claycross.routing.router import rank
@@ -379,7 +379,7 @@
     d.ask(1)
     actions = d.reply(1, "timeout")
     notes = [n for a in actions if isinstance(a, i.SendGossip) for n in decode(a.payload)]
-    assert any(kind == BAD for kind, *_ in notes) == told
+    assert any(kind == ENGINE_FAILED for kind, *_ in notes) == told
 
 
 @pytest.mark.parametrize("nodes", [FLEET, FLEET + 1, 198])
@@ -415,9 +415,11 @@
     d.now += 10 * MS
     told = [a.payload for a in d.reply(99, "error") if isinstance(a, i.SendGossip)]
     blamed = (
-        [tag for p in told for kind, _, tag, _ in decode(p) if kind == BAD]
+        [tag for p in told for kind, _, tag, _ in decode(p) if kind == ENGINE_FAILED]
         if nodes == FLEET
-        else [tag for p in told if (said := load_aggregation.decode(p)) for tag in said.blamed]
+        else [
+            tag for p in told if (said := load_aggregation.decode(p)) for tag in said.failed_engines
+        ]
     )
     assert blamed == [
         d.router.load_gossip.tag(e.id)
--- a/tests/fleet/test_load_aggregation.py
+++ b/tests/fleet/test_load_aggregation.py
@@ -13,9 +13,8 @@
 from claycross.fleet.codec import MAX_DATAGRAM
 from claycross.fleet.leases import CANDIDATES, Lease, rendezvous_order
 from claycross.fleet.load_aggregation import (
-    ASKING,
     COLLECT,
-    FRESH,
+    LEASE_TAKEN,
     LIFE,
     MOST,
     MOST_BLAMED,
@@ -23,6 +22,7 @@
     PATIENCE,
     SNAPSHOT,
     SUMS,
+    SUMS_REQUEST,
     AggregatedLoad,
     decode,
     encode,
@@ -228,7 +228,7 @@
     crowd.asleep.discard(first)
     crowd.run(4 * SECOND)
     kinds = [said.kind for said in told]
-    assert FRESH in kinds and not any(said.work for said in told[: kinds.index(FRESH)])
+    assert LEASE_TAKEN in kinds and not any(said.work for said in told[: kinds.index(LEASE_TAKEN)])
     assert crowd.holders() == {first} and crowd.errors()[-1] < 0.35
 
 
@@ -361,7 +361,7 @@
 
 
 @given(
-    st.sampled_from((SNAPSHOT, ASKING, SUMS, FRESH)),
+    st.sampled_from((SNAPSHOT, SUMS_REQUEST, SUMS, LEASE_TAKEN)),
     SIZES,
     ENTRIES,
     ENTRIES,
@@ -372,7 +372,7 @@
     payload = encode(kind, 3, sequence, reads, writes, blamed)
     assert len(payload) <= MAX_DATAGRAM and not codec.is_message(payload)
     said = decode(payload)
-    assert (said.kind, said.shard, said.sequence, said.blamed) == (
+    assert (said.kind, said.shard, said.sequence, said.failed_engines) == (
         kind,
         3,
         sequence,
@@ -380,7 +380,7 @@
     )
     assert said.work == {(READ, t): s for t, s in reads} | {(WRITE, t): s for t, s in writes}
     known = list(load_gossip.decode(payload))  # to a process that knows notes only: ends of nothing
-    assert all(note[0] == load_gossip.OVER for note in known)
+    assert all(note[0] == load_gossip.WORK_ENDED for note in known)
 
 
 @settings(max_examples=80, deadline=None)
@@ -392,7 +392,7 @@
                 st.binary(max_size=256),
                 st.builds(
                     encode,
-                    st.sampled_from((SNAPSHOT, ASKING, SUMS, FRESH)),
+                    st.sampled_from((SNAPSHOT, SUMS_REQUEST, SUMS, LEASE_TAKEN)),
                     st.integers(0, 3),
                     SIZES,
                     ENTRIES,
--- a/tests/fleet/test_load_gossip.py
+++ b/tests/fleet/test_load_gossip.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from claycross.fleet.load_gossip import (
-    BAD,
-    FORGET,
+    ENGINE_FAILED,
     MOST,
     OUTSTANDING,
-    OVER,
     READ,
     READ_LIFE,
+    SENDER_STARTED,
+    WORK_ENDED,
     WRITE,
     WRITE_LIFE,
     LoadGossip,
@@ -31,11 +31,11 @@
     return LoadGossip(nodes, lambda engine: ENGINES.index(engine) + 7)
 
 
-@given(st.integers(0, 3), st.integers(0, FORGET), st.integers(0, 65535), st.floats(1, 4e9))
+@given(st.integers(0, 3), st.integers(0, SENDER_STARTED), st.integers(0, 65535), st.floats(1, 4e9))
 def test_a_note_comes_back_as_it_was_told(kind, number, tag, size):
     (found,) = decode(encode(kind, number, tag, size))
     assert found[:2] == (kind, number)
-    if kind != OVER:
+    if kind != WORK_ENDED:
         assert found[2] == tag and found[3] == pytest.approx(size, rel=0.05, abs=1)
 
 
@@ -106,7 +106,7 @@
 def test_blame_counts_each_sender_once_and_fades():
     b = board()
     for sender in (0, 0, 2):
-        b.receive(SECOND, sender, encode(BAD, 0, 7, 1))
+        b.receive(SECOND, sender, encode(ENGINE_FAILED, 0, 7, 1))
     assert b.reporters("e1", SECOND) == 2 and b.reporters("e2", SECOND) == 0
     assert b.reporters("e1", 9 * SECOND) == 0
 
@@ -114,7 +114,7 @@
 def test_silence_is_told_from_idleness():
     b = board()
     assert not b.is_reliable(0)
-    b.receive(SECOND, 1, encode(OVER, FORGET))
+    b.receive(SECOND, 1, encode(WORK_ENDED, SENDER_STARTED))
     assert b.is_reliable(2 * SECOND) and not b.is_reliable(60 * SECOND)
 
 
@@ -133,7 +133,7 @@
         peers = ["{}:{}".format(*a) for a in (mine, other.getsockname())]
         more = {"peer_listen": peers[0], "peers": peers, "peers_all": peers[1]}
         with Site(tmp_path, [Engine("p"), Engine("d")], settings={"peers": True}, more=more) as s:
-            assert list(decode(other.recv(512)))[0][:2] == (OVER, FORGET)
+            assert list(decode(other.recv(512)))[0][:2] == (WORK_ENDED, SENDER_STARTED)
             for sender in (stranger, other):
                 sender.sendto(b"\xff" * 300, mine)
                 sender.sendto(encode(READ, 1, 7, 100), mine)
@@ -141,7 +141,7 @@
             told = []
             while len(told) < 3:  # a read, the write in its place, its end
                 told += decode(other.recv(512))
-            assert [kind for kind, *_ in told] == [READ, WRITE, OVER] and len(
+            assert [kind for kind, *_ in told] == [READ, WRITE, WORK_ENDED] and len(
                 {n for _, n, *_ in told}
             ) == 1
             assert told[0][3] == pytest.approx(2500, rel=0.05)  # half is likely kept at its home
