--- a/bench/members.py
+++ b/bench/members.py
@@ -14,7 +14,7 @@
 
 from claycross.emulator.queueing_curve import quantile
 from claycross.fleet.membership import DEAD, MS, SECOND, SUSPECT
-from tests.fleet.simulated_network import Crowd
+from tests.fleet.simulated_network import SimulatedFleet
 
 STEP = 20 * MS
 
@@ -24,9 +24,9 @@
     gone.
     """
     suspected, gone = list[float](), list[float]()
-    c = Crowd(size)
+    c = SimulatedFleet(size)
     c.run(SECOND)
-    c.until(c.settled, 30 * SECOND, 200 * MS)
+    c.run_until(c.has_converged, 30 * SECOND, 200 * MS)
     for k in range(kills):
         n, at = k % size, c.now
         c.kill(n)
@@ -41,14 +41,14 @@
         suspected += [s for s, _ in first.values()]
         gone += [g for _, g in first.values()]
         c.start(n)
-        c.until(c.settled, 60 * SECOND, 500 * MS)
+        c.run_until(c.has_converged, 60 * SECOND, 500 * MS)
         c.run(3 * SECOND)
     return suspected, gone
 
 
 def cost(size: int) -> tuple[float, float]:
     """Messages and bytes heard a second by each, at rest."""
-    c = Crowd(size)
+    c = SimulatedFleet(size)
     c.run(60 * SECOND)
     messages, byte = c.delivered, c.bytes
     c.run(30 * SECOND)
@@ -59,9 +59,9 @@
     """Living members taken for gone (member, observer pairs), and suspicions refuted, under
     loss.
     """
-    c = Crowd(size)
+    c = SimulatedFleet(size)
     c.run(SECOND)
-    c.until(c.settled, 60 * SECOND, 500 * MS)
+    c.run_until(c.has_converged, 60 * SECOND, 500 * MS)
     c.loss, wrong = loss, set()
     for _ in range(int(minutes * 120)):
         c.run(500 * MS)
--- a/tests/fleet/simulated_network.py
+++ b/tests/fleet/simulated_network.py
@@ -10,7 +10,7 @@
 from claycross.fleet.membership import ALL_GATEWAYS, MS, SECOND, Membership
 
 
-class Net:
+class SimulatedNetwork:
     """Virtual time, and datagrams between `size` parties. `cut(a, b)`: whether what a sends to b is
     lost."""
 
@@ -38,7 +38,7 @@
                 )
 
 
-class Crowd(Net):
+class SimulatedFleet(SimulatedNetwork):
     """Each member reads a clock of its own, `skew` apart."""
 
     def __init__(
@@ -128,7 +128,7 @@
             self.watch(self)
         self.now = until
 
-    def until(self, condition, within, step=50 * MS):
+    def run_until(self, condition, within, step=50 * MS):
         """The time until the condition holds."""
         start = self.now
         while not condition():
@@ -146,7 +146,7 @@
             if m.gateway_number != n and (by is None or m.gateway_number in by)
         )
 
-    def settled(self):
+    def has_converged(self):
         """Everyone that runs is seen as serving, with its true incarnation, by everyone that
         runs."""
         return self.wanted == {m.gateway_number for m in self.alive()} and all(
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -120,11 +120,6 @@
     return manager, clock, manager.engine_calls
 
 
-# The former names, which other test files import.
-Time = VirtualClock
-asked = accept_request
-
-
 def test_repeated_releases_spare_the_state_that_was_read_since():
     manager, clock, engine_calls = gateway()
     _, first = accept_request(manager)
--- a/tests/fleet/test_load_aggregation.py
+++ b/tests/fleet/test_load_aggregation.py
@@ -30,13 +30,13 @@
 from claycross.fleet.load_gossip import BAD_LIFE, READ, WRITE, from_scale, to_scale
 from claycross.interface import ALL_GATEWAYS
 from claycross.routing.router import tag as tag_of
-from tests.fleet.simulated_network import Net
+from tests.fleet.simulated_network import SimulatedNetwork
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LOOK = 100 * MS  # between two sweeps of a gateway that has something open
 
 
-class Crowd(Net):
+class Crowd(SimulatedNetwork):
     """Gateways of which each has requests at random engines, and datagrams between them."""
 
     def __init__(
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -39,7 +39,7 @@
     MembershipConfig,
     MemberUpdate,
 )
-from tests.fleet.simulated_network import Crowd
+from tests.fleet.simulated_network import SimulatedFleet
 
 CLAIMS = st.lists(
     st.builds(
@@ -269,9 +269,9 @@
 
 
 def crowd(size, seed=1, **over):
-    c = Crowd(size, seed, **over)
+    c = SimulatedFleet(size, seed, **over)
     c.run(SECOND)
-    c.until(c.settled, 20 * SECOND)
+    c.run_until(c.has_converged, 20 * SECOND)
     return c
 
 
@@ -281,8 +281,10 @@
     c.run(3 * SECOND)
     c.kill(1)
     rest = [m.gateway_number for m in c.alive()]
-    suspected = c.until(lambda: any(m.members[1].state >= SUSPECT for m in c.alive()), 8 * SECOND)
-    gone = c.until(lambda: c.all_see(1, DEAD), 20 * SECOND)
+    suspected = c.run_until(
+        lambda: any(m.members[1].state >= SUSPECT for m in c.alive()), 8 * SECOND
+    )
+    gone = c.run_until(lambda: c.all_see(1, DEAD), 20 * SECOND)
     assert suspected <= 4 * SECOND and gone <= 14 * SECOND
     assert all(c.all_see(n, ALIVE) for n in rest)
     assert all(not m.cut(c.clock(m.gateway_number)) for m in c.alive())
@@ -294,10 +296,10 @@
     c.kill(5)
     c.run(200 * MS)
     c.start(5)
-    c.until(c.settled, 6 * SECOND)
+    c.run_until(c.has_converged, 6 * SECOND)
     assert newer(c.members[5].incarnation, before) and c.members[5].view(c.clock(5)).known == 1
     c.run(15 * SECOND)
-    assert c.settled()
+    assert c.has_converged()
 
 
 def test_a_clock_set_back_before_a_restart_does_not_keep_the_new_process_out():
@@ -307,7 +309,7 @@
     c.run(20 * SECOND)
     assert c.all_see(4, DEAD)
     c.start(4, incarnation=old - 60_000)  # ten minutes back
-    c.until(c.settled, 15 * SECOND)
+    c.run_until(c.has_converged, 15 * SECOND)
     assert newer(c.members[4].incarnation, old)
 
 
@@ -324,7 +326,7 @@
         assert not any(m.accuser for m in mine.members) and not mine.cut(c.clock(7))
 
     c.watch = blameless
-    c.until(c.settled, 8 * SECOND)
+    c.run_until(c.has_converged, 8 * SECOND)
 
 
 @pytest.mark.parametrize(("deaf", "mute"), [(True, False), (False, True)])
@@ -340,7 +342,7 @@
     if mute:
         assert c.all_see(3, DEAD, SUSPECT)
     c.cut = lambda a, b: False
-    c.until(c.settled, 15 * SECOND)
+    c.run_until(c.has_converged, 15 * SECOND)
 
 
 @pytest.mark.parametrize("size", [4, 12, 40, 200])
@@ -348,12 +350,12 @@
     c = crowd(size)
     c.run(2 * SECOND)
     c.cut = lambda a, b: 2 in (a, b)
-    took = c.until(lambda: c.members[2].cut(c.clock(2)) == "alone", 5 * SECOND)
+    took = c.run_until(lambda: c.members[2].cut(c.clock(2)) == "alone", 5 * SECOND)
     assert took <= 2 * SECOND + 100 * MS, took / SECOND
     c.run(15 * SECOND)
     assert not [m for m in c.members[2].members if m.state == DEAD] and c.all_see(2, DEAD)
     c.cut = lambda a, b: False
-    c.until(c.settled, 15 * SECOND)
+    c.run_until(c.has_converged, 15 * SECOND)
 
 
 @pytest.mark.parametrize("size", [12, 40])
@@ -362,7 +364,7 @@
     c.run(2 * SECOND)
     c.cut = lambda a, b: (a % 3 == 1) != (b % 3 == 1)
     zone = [n for n in range(size) if n % 3 == 1]
-    c.until(lambda: all(c.members[n].cut(c.clock(n)) for n in zone), 5 * SECOND)
+    c.run_until(lambda: all(c.members[n].cut(c.clock(n)) for n in zone), 5 * SECOND)
     c.run(15 * SECOND)
     for n in range(size):
         seen = {m.number: m.state for m in c.members[n].members}
@@ -372,21 +374,21 @@
             assert not c.members[n].cut(c.clock(n))
             assert {k for k, s in seen.items() if s == DEAD} == set(zone)
     c.cut = lambda a, b: False
-    c.until(c.settled, 20 * SECOND)
+    c.run_until(c.has_converged, 20 * SECOND)
 
 
 @pytest.mark.parametrize("size", [12, 200])
 def test_halves_each_go_on_by_themselves_and_agree_again_after_the_heal(size):
     c = crowd(size, zones=1)
     c.cut = lambda a, b: a % 2 != b % 2
-    c.until(
+    c.run_until(
         lambda: all(len(m.view(c.clock(m.gateway_number)).there) == size // 2 for m in c.alive()),
         30 * SECOND,
         step=SECOND,
     )
     assert all(not m.cut(c.clock(m.gateway_number)) for m in c.alive())
     c.cut = lambda a, b: False
-    c.until(c.settled, (15 if size == 12 else 40) * SECOND, step=SECOND)
+    c.run_until(c.has_converged, (15 if size == 12 else 40) * SECOND, step=SECOND)
 
 
 @pytest.mark.parametrize("loss", [0.2, 0.3])
@@ -416,12 +418,12 @@
         c.start(first + 1)
         c.run(1500 * MS)
         assert all(c.all_see(n, ALIVE, by=others) for n in (first, first + 1))
-    c.until(c.settled, 5 * SECOND)
+    c.run_until(c.has_converged, 5 * SECOND)
 
 
 def test_two_hundred_that_start_in_the_same_second_know_each_other_in_few_datagrams():
-    c = Crowd(200, together=True)
-    took = c.until(c.settled, 20 * SECOND)
+    c = SimulatedFleet(200, together=True)
+    took = c.run_until(c.has_converged, 20 * SECOND)
     c.run(SECOND)
     assert took <= 3 * SECOND and c.bytes / 200 < 60_000
     before = c.delivered
@@ -429,14 +431,14 @@
     c.run(500 * MS)
     c.start(9)
     c.run(400 * MS)
-    c.until(lambda: c.members[9].view(c.clock(9)).known == 1, 3 * SECOND)
+    c.run_until(lambda: c.members[9].view(c.clock(9)).known == 1, 3 * SECOND)
     assert c.delivered - before < 200 + 2 * 200 * 4 + 100
 
 
 def test_clocks_minutes_apart_change_nothing():
     c = crowd(12, skew=300 * SECOND)
     c.kill(3)
-    c.until(lambda: c.all_see(3, DEAD), 14 * SECOND)
+    c.run_until(lambda: c.all_see(3, DEAD), 14 * SECOND)
     assert all(c.all_see(n, ALIVE) for n in range(12) if n != 3)
 
 
@@ -466,7 +468,7 @@
     c.run(2700 * SECOND)
     before = c.bytes
     c.run(300 * SECOND)
-    assert c.bytes - before <= 1.05 * first and c.settled()
+    assert c.bytes - before <= 1.05 * first and c.has_converged()
     assert held() <= most + 4
 
 
--- a/tests/requests/test_reservation_timer.py
+++ b/tests/requests/test_reservation_timer.py
@@ -7,7 +7,7 @@
 from claycross import interface as i
 from claycross.requests.release_coordinator import RELEASE_BEFORE_READ_TIMEOUT
 from claycross.requests.reservation_timer import ReservationStatus, ReservationTimer
-from tests.fleet.test_fleet import asked, gateway
+from tests.fleet.test_fleet import accept_request, gateway
 from tests.routing.router_harness import MS, READERS, SECOND, WRITERS, entry
 
 WITHIN, GRACE = 300 * MS, 300 * MS  # of the settings, and of wires
@@ -18,7 +18,7 @@
     """A request whose state is held, with its write written to an engine that says nothing."""
     core, clock, wires = gateway(**over)
     wires.deaf = ()
-    r, first = asked(core)
+    r, first = accept_request(core)
     core.attempt_done(first, "read")
     core.process_events()
     return core, clock, wires, r, first
@@ -95,7 +95,7 @@
 def test_a_write_that_is_still_connecting_is_given_the_time_of_a_dial():
     core, clock, wires = gateway()
     wires.deaf = ()
-    r, first = asked(core)
+    r, first = accept_request(core)
     wires.unmade = set(WRITERS)
     core.attempt_done(first, "read")
     core.process_events()
--- a/tests/requests/test_state_release.py
+++ b/tests/requests/test_state_release.py
@@ -12,7 +12,7 @@
 from claycross.requests.manager import RequestManager
 from claycross.requests.state_release import AGAIN, FRESH, MOST_RELAYS, RelayCandidate, StateRelease
 from standins.servers import Engine, chat, eventually
-from tests.fleet.test_fleet import Time, asked
+from tests.fleet.test_fleet import VirtualClock, accept_request
 from tests.routing.router_harness import MS, SECOND, entry, settings
 
 WITHIN = 300 * MS
@@ -144,7 +144,7 @@
 
 
 def fleet(cut):
-    time_ = Time()
+    time_ = VirtualClock()
     core = RequestManager(settings(), 1, time_, lambda text: None)
     names = [f"{kind}{n}" for kind in "rw" for n in range(1, 31)]
     core.engine_calls = Slow(time_, [n for n in names if n in cut])
@@ -157,7 +157,7 @@
 
 def test_what_a_read_left_in_a_zone_that_is_cut_off_is_let_go_in_time():
     core, clock, calls = fleet({f"{kind}{n}" for kind in "rw" for n in range(3, 31, 3)})
-    r, first = asked(core)
+    r, first = accept_request(core)
     calls.cut = [
         e for e in core.endpoints if core.endpoints[e].zone == core.endpoints[first.engine].zone
     ]
@@ -172,7 +172,7 @@
 
 def test_a_release_on_its_way_is_not_written_once_the_request_is_read_anew():
     core, clock, calls = fleet(set())
-    r, first = asked(core)
+    r, first = accept_request(core)
     calls.cut = [first.engine]
     core.state_releases.advance(core.state_releases.create(first.engine, "k1", True))
     clock.pass_by(SECOND, core)
