--- a/claycross/discovery/list_freshness.py
+++ b/claycross/discovery/list_freshness.py
@@ -36,8 +36,8 @@
 class FreshnessTiming:
     """Times in nanoseconds, all derived from the drain grace."""
 
-    unheard: int  # from the process's start until the saved list is used without a response
-    dial: int  # timeout of an attempt to connect to discovery's agent
+    unheard_after: int  # from the process's start until the saved list is used without a response
+    connect_timeout: int  # of an attempt to connect to discovery's agent
     pause: int  # between two attempts
 
 
@@ -45,8 +45,8 @@
     """Derive the timing from the drain grace of the settings."""
     grace = max(1, settings.drain_grace)
     return FreshnessTiming(
-        unheard=UNHEARD_AFTER_GRACES * grace,
-        dial=int(CONNECT_TIMEOUT_SHARE * grace),
+        unheard_after=UNHEARD_AFTER_GRACES * grace,
+        connect_timeout=int(CONNECT_TIMEOUT_SHARE * grace),
         pause=int(PAUSE_SHARE * grace),
     )
 
@@ -69,7 +69,7 @@
         """Return SAVED, CONFIRMED or UNHEARD."""
         if self.confirmed:
             return CONFIRMED
-        if now - self.started_at < self.timing.unheard:
+        if now - self.started_at < self.timing.unheard_after:
             return SAVED
         return UNHEARD
 
@@ -81,7 +81,7 @@
         """Return the time until requests may be sent even if discovery stays silent; 0: now."""
         if self.may_send(now):
             return 0
-        return self.started_at + self.timing.unheard - now
+        return self.started_at + self.timing.unheard_after - now
 
     def wait(self, now: int, time_left: int) -> int:
         """Return for how long a request with that time left is to be held; 0 for not at all.
--- a/claycross/fleet/zone_reachability.py
+++ b/claycross/fleet/zone_reachability.py
@@ -39,7 +39,7 @@
         """Record that an engine in the zone responded."""
         self.zones.pop(zone, None)
 
-    def engine_silent(self, zone: str, engine: str, now: int) -> None:
+    def engine_unresponsive(self, zone: str, engine: str, now: int) -> None:
         """Record that an attempt at an engine in the zone got no response."""
         evidence = self.zones.setdefault(zone, ZoneEvidence())
         evidence.unresponsive = {
--- a/claycross/gateway/endpoint_updates.py
+++ b/claycross/gateway/endpoint_updates.py
@@ -37,7 +37,7 @@
             self.parts.config.discovery,
             [self.update_endpoints],
             self.log,
-            timing.dial,
+            timing.connect_timeout,
             timing.pause,
         )
 
--- a/claycross/gateway/gateway.py
+++ b/claycross/gateway/gateway.py
@@ -159,7 +159,7 @@
             state_store.capture_snapshot = self.endpoint_updates.capture_snapshot
         if state_store.draining:
             self.commands.apply_drain(True)
-        unheard = self.parts.list_freshness.timing.unheard
+        unheard = self.parts.list_freshness.timing.unheard_after
         self.loop.call_later(unheard, self.endpoint_updates.admit_waiting)
         state_store.start(saves_snapshots=self.parts.may_be_succeeded)
 
--- a/claycross/routing/attempt_results.py
+++ b/claycross/routing/attempt_results.py
@@ -121,7 +121,7 @@
         if not unresponsive:
             return
         if not refused:
-            self.reachability.zones.engine_silent(engine.entry.zone, engine.id, now)
+            self.reachability.zones.engine_unresponsive(engine.entry.zone, engine.id, now)
             request.unresponsive_zones.add(engine.entry.zone)
         self.health.record_failure(engine, now, unresponsive=True)
 
--- a/tests/discovery/test_list_freshness.py
+++ b/tests/discovery/test_list_freshness.py
@@ -30,7 +30,7 @@
 @given(GRACES)
 def test_discovery_is_polled_again_within_the_drain_grace(grace):
     timing = freshness_timing(settings(drain_grace=grace))
-    assert 0 < timing.dial + timing.pause < grace < timing.unheard
+    assert 0 < timing.connect_timeout + timing.pause < grace < timing.unheard_after
 
 
 @given(GRACES, SPANS, st.none() | SPANS, SPANS, SPANS)
@@ -44,7 +44,7 @@
         assert freshness.discovery_responded()
         assert not freshness.discovery_responded()  # this is not the first response
         assert freshness.status(now) == CONFIRMED
-    elif elapsed < timing.unheard:
+    elif elapsed < timing.unheard_after:
         assert freshness.status(now) == SAVED
     else:
         assert freshness.status(now) == UNHEARD
@@ -53,7 +53,7 @@
     remaining = freshness.remaining(now)
     assert (wait == 0) == (remaining == 0) == freshness.may_send(now)
     assert wait <= max(1, time_left // 2)
-    assert wait <= remaining <= timing.unheard
+    assert wait <= remaining <= timing.unheard_after
     assert freshness.may_send(now + remaining)  # even if discovery stays silent
 
 
@@ -70,7 +70,9 @@
 
     logged = []
     timing = freshness_timing(settings())
-    watch = DiscoveryWatch(Loop(), ("127.0.0.1", 9), [], logged.append, timing.dial, timing.pause)
+    watch = DiscoveryWatch(
+        Loop(), ("127.0.0.1", 9), [], logged.append, timing.connect_timeout, timing.pause
+    )
 
     def fail():
         raise ConnectionClosedError("refused")
--- a/tests/fleet/test_zone_reachability.py
+++ b/tests/fleet/test_zone_reachability.py
@@ -35,9 +35,9 @@
 def test_two_unresponsive_engines_make_a_zone_suspect_and_one_does_not():
     zones = ZoneReachability()
     for _ in range(5):
-        zones.engine_silent("north", "e1", 0)
+        zones.engine_unresponsive("north", "e1", 0)
     assert not zones.is_suspect("north", 0)
-    zones.engine_silent("north", "e2", 0)
+    zones.engine_unresponsive("north", "e2", 0)
     assert zones.is_suspect("north", 0)
     assert not zones.is_suspect("south", 0)
     assert not zones.is_suspect("north", MIN_SUSPICION_NS)  # it is tried again
@@ -45,12 +45,12 @@
 
 def test_each_further_unresponsive_engine_prolongs_a_suspicion_until_one_responds():
     zones = ZoneReachability()
-    zones.engine_silent("north", "e1", 0)
-    zones.engine_silent("north", "e2", 0)
+    zones.engine_unresponsive("north", "e1", 0)
+    zones.engine_unresponsive("north", "e2", 0)
     now = MIN_SUSPICION_NS
     durations = []
     for _ in range(5):
-        zones.engine_silent("north", "e3", now)
+        zones.engine_unresponsive("north", "e3", now)
         durations.append(
             next(
                 duration
@@ -63,7 +63,7 @@
     assert durations[0] > MIN_SUSPICION_NS
     assert durations[-1] == MAX_SUSPICION_NS
     zones.engine_responded("north")
-    zones.engine_silent("north", "e3", now)
+    zones.engine_unresponsive("north", "e3", now)
     assert not zones.is_suspect("north", now)
 
 
@@ -75,7 +75,7 @@
     for kind, zone, engine, elapsed in events:
         now += elapsed
         if kind == "unresponsive":
-            zones.engine_silent(zone, engine, now)
+            zones.engine_unresponsive(zone, engine, now)
             unresponsive[zone].add(engine)
         else:
             zones.engine_responded(zone)
@@ -150,7 +150,7 @@
     router = new_router()
     for zone in ZONES:
         for engine in ("a", "b"):
-            router.router.zones.engine_silent(zone, engine, router.now)
+            router.router.zones.engine_unresponsive(zone, engine, router.now)
     assert sends(router.ask(1, session="s"))
 
 
