--- a/claycross/discovery/__init__.py
+++ b/claycross/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list, from discovery or etcd, its freshness, and the other gateways."""
+"""The endpoint list from discovery or etcd, its freshness, and the membership driver."""
--- a/claycross/discovery/etcd.py
+++ b/claycross/discovery/etcd.py
@@ -49,7 +49,7 @@
         create = {**self.keys, "start_revision": str(revision + 1)}
         body = json.dumps({"create_request": create}).encode()
         for value in self.values("POST", "/v3/watch", body):
-            self.read(value, address)
+            self.handle_value(value, address)
         raise ConnectionClosedError("the watch ended")
 
     def read_list(self, address: Address) -> int:
@@ -63,12 +63,12 @@
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             raise DiscoveryDataError(f"list: {type(err).__name__} {err}") from None
         if (address, revision) != self.published:
-            self.take({"rev": revision, "all": True, "targets": targets}, address)
+            self.apply_message({"rev": revision, "all": True, "targets": targets}, address)
             self.published = address, revision
         self.reset_back_off()
         return revision
 
-    def read(self, value: bytes, address: Address) -> None:
+    def handle_value(self, value: bytes, address: Address) -> None:
         """Publish the changes in one response of the watch."""
         if not value:
             return
@@ -82,7 +82,9 @@
             events = result.get("events") or []
             targets = [self.target(event["kv"], event.get("type") == "DELETE") for event in events]
             if targets:
-                self.take({"rev": int(result["header"]["revision"]), "targets": targets}, address)
+                self.apply_message(
+                    {"rev": int(result["header"]["revision"]), "targets": targets}, address
+                )
                 self.published = address, self.version
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             raise DiscoveryDataError(f"watch: {type(err).__name__} {err}") from None
--- a/claycross/discovery/watch.py
+++ b/claycross/discovery/watch.py
@@ -189,8 +189,9 @@
         address: The address of discovery.
         listeners: Called with each update and with the addresses of its engines.
         log: Writes a line to the log.
-        connect_timeout: Nanoseconds for a connect; a change made meanwhile arrives late.
-        max_back_off: Nanoseconds between two watches at most; the same.
+        connect_timeout: Nanoseconds for a connect.
+        max_back_off: Nanoseconds between two watches at most. Like the connect, it delays the
+            changes that discovery has in that time.
     """
 
     idle_timeout = IDLE_TIMEOUT_NS
@@ -306,7 +307,7 @@
         """Run one watch until it ends, which is always an exception."""
         address = self.address
         for value in self.values("GET", f"/api/targets?watch=1&from={self.version_at(address)}"):
-            self.read(value, address)
+            self.handle_value(value, address)
         raise ConnectionClosedError("the watch ended")
 
     def version_at(self, address: Address) -> int:
@@ -356,7 +357,11 @@
                 del self.connections[generation]
 
     def receive_deadline(self, requested_at: int, last_value_at: int) -> int:
-        """Return when a watch has been silent for too long; the timeout may change meanwhile."""
+        """Return when a watch that stays silent is to be closed.
+
+        It may become later while the watch waits: another one may extend the first response
+        timeout.
+        """
         if last_value_at:
             return last_value_at + self.idle_timeout
         return requested_at + self.first_response_timeout.current
@@ -414,7 +419,7 @@
         finally:
             connection.close()
 
-    def read(self, value: bytes, address: Address) -> None:
+    def handle_value(self, value: bytes, address: Address) -> None:
         """Parse and apply one value of a watch; an empty one only shows that discovery is alive."""
         self.reset_back_off()
         if not value:
@@ -423,9 +428,9 @@
             message = json.loads(value)
         except (ValueError, RecursionError) as err:
             raise DiscoveryDataError(str(err)) from None
-        self.take(message, address)
+        self.apply_message(message, address)
 
-    def take(self, message: Any, address: Address) -> None:
+    def apply_message(self, message: Any, address: Address) -> None:
         """Publish a message's update, unless it is older than the list."""
         parsed = read_targets(message)
         if len(parsed.update.entries) > LARGE_LIST_ENTRIES:
@@ -449,7 +454,7 @@
         """Let other tasks run before a large list is applied.
 
         Raises:
-            ConnectionClosedError: If a watch at a later address has sent a value meanwhile.
+            ConnectionClosedError: If a watch at a later address has sent a value by then.
         """
         latest_responding = self.latest_responding
         self.loop.sleep(0)
--- a/claycross/fleet/__init__.py
+++ b/claycross/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other: load gossip, aggregation, leases, membership."""
+"""Protocols between gateways: membership, leases, load gossip and load aggregation."""
