--- a/claycross/fleet/membership.py
+++ b/claycross/fleet/membership.py
@@ -455,8 +455,8 @@
     def expire_suspicion(self, now: int, member: Member) -> None:
         """Declare a suspect dead that did not refute in time.
 
-        A suspicion that came by gossip first becomes this gateway's own, so that the suspect is
-        probed from here before it is declared dead.
+        A suspicion that came by gossip, and that no other gateway has decided since, first becomes
+        this gateway's own, so that the suspect is probed from here before it is declared dead.
         """
         if now < member.deadline or not self.may_suspect(now, member.number):
             return
