--- a/claycross/upstream/responses.py
+++ b/claycross/upstream/responses.py
@@ -156,7 +156,7 @@
             return AttemptResult.CANCELLED_BEFORE_SEND
         if self.status != ENGINE_ERROR_STATUS:
             self.manager.log(
-                f"engine-unexpected-status engine={self.attempt.engine} status={self.status}"
+                f"engine-unknown-status engine={self.attempt.engine} status={self.status}"
             )
         return AttemptResult.ERROR
 
--- a/standins/servers.py
+++ b/standins/servers.py
@@ -579,9 +579,8 @@
         for server in (*self.engines, self.discovery):
             server.close()
         if kind is None:
-            log = self.log()
-            assert "Traceback" not in log and "unexpected where=" not in log, log
-            assert "invariant" not in log, log
+            assert "Traceback" not in self.log() and "unexpected" not in self.log(), self.log()
+            assert "invariant" not in self.log(), self.log()
 
     def reconfigure(self, config, hup=False):
         """Replaces the configuration file, whole; with `hup`, tells the gateway so."""
