--- a/claycross/__init__.py
+++ b/claycross/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway of a language-model service whose engines read prompts or write answers."""
+"""A gateway for language-model services whose engines read prompts or write answers."""
 
 from .routing.router import Router
 
--- a/claycross/adapter.py
+++ b/claycross/adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output, with one router for each instance.
+"""The simulator's protocol on standard input and output, with one router for each instance.
 
-Each line of input is a batch of events as JSON, each line of output the decisions that follow. The
-words of the wire are translated here and go no further in. Nothing is decided here.
+Each input line is a JSON batch of events; the output line for it holds the resulting decisions. The
+protocol's terms are translated here and appear nowhere else. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .interface import AttemptResult, EngineState, Timer, TimerKind, UpdateKind
 from .routing.router import Router
 
-LIST_KINDS = {
+UPDATE_KINDS = {
     "patch": UpdateKind.CHANGES,
     "whole": UpdateKind.FULL,
     "stale_copy": UpdateKind.SAVED,
@@ -29,21 +29,21 @@
     "OUT": EngineState.REMOVED,
 }
 TIMER_KINDS = {str(kind): kind for kind in TimerKind}
-NO_STATE = 1  # as `info` of the ending "full"
-INPUT_ERROR = 2  # exit status
+STATE_MISSING_INFO = 1  # `info` of an ending "full": the engine had no state to fetch
+INPUT_ERROR_STATUS = 2  # exit status
 
 Instance = str
 
 
 class InputError(Exception):
-    """The input can't be understood; the text says what is wrong."""
+    """The input is not a valid batch; the message says why."""
 
 
 # ---------------------------------------------------------------- events
 
 
-def read_list(fields: Fields) -> interface.EndpointListUpdate:
-    """Reads `Update`."""
+def read_endpoint_list_update(fields: Fields) -> interface.EndpointListUpdate:
+    """Convert `Update`, an endpoint list or changes to it."""
     entries = [
         interface.EngineEndpoint(
             engine=member["engine"],
@@ -56,11 +56,11 @@
         )
         for member in fields.get("members", [])
     ]
-    return interface.EndpointListUpdate(LIST_KINDS[fields["kind"]], entries)
+    return interface.EndpointListUpdate(UPDATE_KINDS[fields["kind"]], entries)
 
 
-def read_arrival(fields: Fields) -> interface.RequestArrived:
-    """Reads `Query`."""
+def read_request_arrived(fields: Fields) -> interface.RequestArrived:
+    """Convert `Query`, the arrival of a request."""
     return interface.RequestArrived(
         request=fields["msg-id"],
         class_name=fields["grade"],
@@ -76,26 +76,26 @@
     )
 
 
-def read_stream_start(fields: Fields) -> interface.StreamStarted:
-    """Reads `First`."""
+def read_stream_started(fields: Fields) -> interface.StreamStarted:
+    """Convert `First`, the start of a stream."""
     return interface.StreamStarted(
         fields["msg-id"], fields["hop"], fields["engine"], int(fields.get("time-taken", 0))
     )
 
 
-def read_result(fields: Fields) -> AttemptResult:
-    """The result of an attempt from `ending` and `info`."""
+def read_attempt_result(fields: Fields) -> AttemptResult:
+    """Return the result of an attempt, from its `ending` and `info`."""
     ending = fields["ending"]
     if ending == "staged":
         return AttemptResult.READ
-    if ending == "full" and int(fields.get("info", 0)) == NO_STATE:
+    if ending == "full" and int(fields.get("info", 0)) == STATE_MISSING_INFO:
         return AttemptResult.STATE_MISSING
     return AttemptResult(ending)
 
 
-def read_attempt_end(fields: Fields) -> interface.AttemptFinished:
-    """Reads `Response`."""
-    result = read_result(fields)
+def read_attempt_finished(fields: Fields) -> interface.AttemptFinished:
+    """Convert `Response`, the end of an attempt."""
+    result = read_attempt_result(fields)
     has_cached_tokens = result in (AttemptResult.READ, AttemptResult.OK)
     return interface.AttemptFinished(
         request=fields["msg-id"],
@@ -109,13 +109,13 @@
     )
 
 
-def read_abandoned(fields: Fields) -> interface.RequestAbandoned:
-    """Reads `Left`."""
+def read_request_abandoned(fields: Fields) -> interface.RequestAbandoned:
+    """Convert `Left`: the client no longer waits for its request."""
     return interface.RequestAbandoned(fields["msg-id"])
 
 
-def read_timer(fields: Fields) -> interface.TimerFired | None:
-    """Reads `Timer`; None for a reference that this program does not give."""
+def read_timer_fired(fields: Fields) -> interface.TimerFired | None:
+    """Convert `Timer`; return None for a reference that this program never sets."""
     name, _, request = str(fields["ref"]).partition(" ")
     kind = TIMER_KINDS.get(name)
     if kind is None or not (request or "0").isdigit():
@@ -123,87 +123,87 @@
     return interface.TimerFired(Timer(kind, int(request or 0)))
 
 
-def read_gossip(fields: Fields) -> interface.GossipReceived:
-    """Reads `Memo`."""
+def read_gossip_received(fields: Fields) -> interface.GossipReceived:
+    """Convert `Memo`, a datagram from another gateway."""
     return interface.GossipReceived(int(fields["neighbour"]), b64decode(fields.get("payload", "")))
 
 
-def read_reservation(fields: Fields) -> None:
-    """Checks `Reserved`, which answers what this program never asks for, and drops it."""
+def check_reservation(fields: Fields) -> None:
+    """Validate and drop `Reserved`, a response to a request that this program never makes."""
     _ = fields["msg-id"], fields["engine"], fields["what"]
 
 
-def read_probe_result(fields: Fields) -> None:
-    """Checks `Health`, which answers what this program never asks for, and drops it."""
+def check_probe_result(fields: Fields) -> None:
+    """Validate and drop `Health`, a response to a request that this program never makes."""
     _ = fields["engine"], fields["ending"], int(fields.get("time-taken", 0))
 
 
 EVENT_READERS: dict[str, Callable[[Fields], interface.Event | None]] = {
-    "Update": read_list,
-    "Query": read_arrival,
-    "First": read_stream_start,
-    "Response": read_attempt_end,
-    "Reserved": read_reservation,
-    "Left": read_abandoned,
-    "Timer": read_timer,
-    "Memo": read_gossip,
-    "Health": read_probe_result,
+    "Update": read_endpoint_list_update,
+    "Query": read_request_arrived,
+    "First": read_stream_started,
+    "Response": read_attempt_finished,
+    "Reserved": check_reservation,
+    "Left": read_request_abandoned,
+    "Timer": read_timer_fired,
+    "Memo": read_gossip_received,
+    "Health": check_probe_result,
 }
 
 # ---------------------------------------------------------------- actions
 
 
 def timer_reference(timer: Timer) -> str:
-    """The wire's name of a timer, as `read_timer` reads it."""
+    """Return the protocol's reference of a timer, as `read_timer_fired` parses it."""
     if timer.kind is TimerKind.REQUEST_DEADLINE:
         return f"{timer.kind} {timer.request}"
     return str(timer.kind)
 
 
 def encode_start(action: interface.StartAttempt) -> Fields:
-    """The fields of `Place`."""
+    """Return the fields of `Place`."""
     return {"msg-id": action.request, "timeout": action.timeout, "engine": action.engine}
 
 
 def encode_release(action: interface.ReleaseState) -> Fields:
-    """The fields of `LetGo`."""
+    """Return the fields of `LetGo`."""
     return {"msg-id": action.request}
 
 
 def encode_cancel(action: interface.CancelAttempt) -> Fields:
-    """The fields of `CallOff`."""
+    """Return the fields of `CallOff`."""
     return {"msg-id": action.request, "hop": action.attempt}
 
 
 def encode_rejection(action: interface.RejectRequest) -> Fields:
-    """The fields of `Bounce`."""
+    """Return the fields of `Bounce`."""
     return {"msg-id": action.request, "hold-off": action.retry_after}
 
 
 def encode_failure(action: interface.FailRequest) -> Fields:
-    """The fields of `Surrender`."""
+    """Return the fields of `Surrender`."""
     return {"msg-id": action.request}
 
 
 def encode_timer(action: interface.SetTimer) -> Fields:
-    """The fields of `Sleep`."""
+    """Return the fields of `Sleep`."""
     return {"wait": action.delay, "ref": timer_reference(action.timer)}
 
 
 def encode_gossip(action: interface.SendGossip) -> Fields:
-    """The fields of `WritePeer`."""
+    """Return the fields of `WritePeer`."""
     to_all = action.recipient == interface.ALL_GATEWAYS
     payload = b64encode(action.payload).decode()
     return {"dst": "all" if to_all else action.recipient, "payload": payload}
 
 
 def encode_watch(_: interface.WatchEndpoints) -> Fields:
-    """The fields of `Track`."""
+    """Return the fields of `Track`."""
     return {"want": True}
 
 
 def encode_log(action: interface.LogMessage) -> Fields:
-    """The fields of `Emit`."""
+    """Return the fields of `Emit`."""
     return {"text": action.text}
 
 
@@ -224,20 +224,25 @@
 
 
 class Adapter:
-    """Hosts the instances and turns one batch into one reply."""
+    """Runs one router for each instance and converts batches of events to replies."""
 
     def __init__(self) -> None:
         self.routers: dict[Instance, Router] = {}
 
-    def answer(self, batch: Any) -> Fields:
-        """The reply to a batch; raises InputError."""
+    def process_batch(self, batch: Any) -> Fields:
+        """Return the reply to a batch.
+
+        Raises:
+            InputError: The batch is not valid.
+        """
         if not isinstance(batch, dict) or not isinstance(batch.get("news"), list):
             raise InputError("a batch must be an object with an array named news")
         if type(batch.get("moment")) is not int:
             raise InputError("a batch must hold its time, a whole number, as moment")
-        pending: dict[Instance, list[interface.Event]] = {}  # ordered by each one's first event
+        # In order of each instance's first event.
+        pending: dict[Instance, list[interface.Event]] = {}
         for item in batch["news"]:
-            self._take_event(item, pending)
+            self._add_event(item, pending)
         decisions: list[Fields] = []
         for instance, events in pending.items():
             for action in self.routers[instance].handle(batch["moment"], events):
@@ -245,25 +250,30 @@
                 decisions.append({name: {"who": instance, **encode(action)}})
         return {"decisions": decisions}
 
-    def _take_event(self, item: Any, pending: dict[Instance, list[interface.Event]]) -> None:
-        """Carries out `Launch` and `Exit`; adds any other event to those of its instance."""
+    def _add_event(self, item: Any, pending: dict[Instance, list[interface.Event]]) -> None:
+        """Validate one item of a batch and dispatch its event.
+
+        Raises:
+            InputError: The item is not a valid event.
+        """
         if not isinstance(item, dict) or len(item) != 1:
             raise InputError("an event must be an object with one key, its name")
         name, fields = next(iter(item.items()))
         if not isinstance(fields, dict) or not isinstance(fields.get("who"), str):
-            raise InputError(f"event {name}: the field who is missing")
+            raise InputError(f"event {name}: the string field who is missing")
         try:
-            self._take_fields(name, fields, pending)
+            self._dispatch_event(name, fields, pending)
         except KeyError as error:
             raise InputError(
-                f"event {name}: field or value {error} is missing or not known"
+                f"event {name}: field or value {error} is missing or unknown"
             ) from None
         except (TypeError, ValueError, AttributeError) as error:
             raise InputError(f"event {name}: {error}") from None
 
-    def _take_fields(
+    def _dispatch_event(
         self, name: str, fields: Fields, pending: dict[Instance, list[interface.Event]]
     ) -> None:
+        """Apply `Launch` or `Exit`, or add any other event to the pending ones of its instance."""
         instance = fields["who"]
         if name == "Launch":
             pending[instance] = []
@@ -271,7 +281,8 @@
             self.routers[instance] = Router(settings, int(fields["rng-seed"]))
         elif instance not in self.routers:
             raise InputError(f"event {name}: instance {instance} has not been launched")
-        elif name == "Exit":  # a stopped instance may act no more
+        elif name == "Exit":
+            # A stopped instance must not act on its pending events.
             pending.pop(instance, None)
             del self.routers[instance]
         elif name in EVENT_READERS:
@@ -280,27 +291,27 @@
             if event is not None:
                 events.append(event)
         else:
-            raise InputError(f"event {name} is not known")
+            raise InputError(f"event {name} is unknown")
 
 
-def stop_with(message: str) -> NoReturn:
-    """Ends the process with one line on standard error."""
+def exit_with_error(message: str) -> NoReturn:
+    """Print one line to standard error and exit."""
     print(f"claycross: {message}", file=sys.stderr)
-    sys.exit(INPUT_ERROR)
+    sys.exit(INPUT_ERROR_STATUS)
 
 
 def main() -> None:
-    """Answers batches until the end of the input."""
+    """Reply to batches until the end of the input."""
     adapter = Adapter()
     for line in sys.stdin:
         try:
             batch = json.loads(line)
         except ValueError as error:
-            stop_with(f"a line is not JSON: {error}")
+            exit_with_error(f"an input line is not valid JSON: {error}")
         try:
-            reply = adapter.answer(batch)
+            reply = adapter.process_batch(batch)
         except InputError as error:
-            stop_with(str(error))
+            exit_with_error(str(error))
         sys.stdout.write(json.dumps(reply, separators=(",", ":")) + "\n")
         sys.stdout.flush()
 
--- a/claycross/cli.py
+++ b/claycross/cli.py
@@ -1,4 +1,4 @@
-"""The command line: commands, their options, and the reading of the files they name."""
+"""The command-line interface: commands, their options, and loading of configuration files."""
 
 from __future__ import annotations
 
@@ -27,29 +27,33 @@
 if TYPE_CHECKING:
     from .config.operator_files import CooperationConfig, Http2Config
 
-USAGE_ERROR = 2  # exit status, as of other command-line programs
+USAGE_ERROR_STATUS = 2  # conventional exit status for invalid usage
 MAX_SEEDS = 1000  # of one soak test
 app = typer.Typer(
     add_completion=False,
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="The gateway of the chat service.",
+    help="Gateway for language-model serving.",
 )
 EmbeddingsOption = Annotated[
-    str, typer.Option("--embeddings", help="File of the embeddings front.")
+    str, typer.Option("--embeddings", help="Configuration file of the embeddings service.")
+]
+AdminOption = Annotated[
+    str, typer.Option("--admin", help="Configuration file of the administration API.")
 ]
-AdminOption = Annotated[str, typer.Option("--admin", help="File of the administration API.")]
 Http2Option = Annotated[
-    str, typer.Option("--http2", help="File that turns on HTTP/2 towards engines.")
+    str, typer.Option("--http2", help="Configuration file that enables HTTP/2 to engines.")
 ]
 EtcdOption = Annotated[
-    str, typer.Option("--etcd", help="File that names etcd as the source of the list.")
+    str,
+    typer.Option("--etcd", help="Configuration file of etcd as the source of the endpoint list."),
 ]
 CooperationOption = Annotated[
-    str, typer.Option("--cooperation", help="File of what gateways do together.")
+    str,
+    typer.Option("--cooperation", help="Configuration file of the cooperation between gateways."),
 ]
 TraceOption = Annotated[
-    bool, typer.Option("--trace", help="Log the end of every attempt and request.")
+    bool, typer.Option("--trace", help="Log the end of each attempt and request.")
 ]
 ConfigOption = Annotated[
     str, typer.Option("--config", envvar="PROXY_CONFIG", help="Configuration file.")
@@ -57,21 +61,21 @@
 
 
 def exit_with_error(message: str) -> NoReturn:
-    """Print what is wrong and exit."""
+    """Print an error message and exit with the status for invalid usage."""
     print(f"claycross: {message}", file=sys.stderr)
-    raise typer.Exit(USAGE_ERROR)
+    raise typer.Exit(USAGE_ERROR_STATUS)
 
 
 def load_http2(path: str) -> Http2Config:
-    """Read the file of HTTP/2 options."""
-    # Imported only here: with a library that the platform's gateway does without.
+    """Read the configuration file of HTTP/2 to engines."""
+    # Imported on use: it loads msgspec, which the platform's gateway does not need.
     from .config.operator_files import Http2Config, read
 
     return read(path, Http2Config)
 
 
 def load_cooperation(path: str) -> CooperationConfig:
-    """Read the file of the cooperation between gateways."""
+    """Read the configuration file of the cooperation between gateways."""
     from .config.operator_files import CooperationConfig, read
 
     return read(path, CooperationConfig)
@@ -80,9 +84,9 @@
 def load(
     config: str, embeddings: str, admin: str, etcd: str, http2: str, cooperation: str
 ) -> Configuration:
-    """Read all configuration files; a path is blank where its file is not given."""
+    """Read all configuration files; the path of a file that is not given is empty."""
     if admin and not embeddings:
-        exit_with_error("--admin needs --embeddings: tenants are those of that front")
+        exit_with_error("--admin requires --embeddings, whose tenants it manages")
     try:
         gateway = read_config(config, dict(os.environ))
         return Configuration(
@@ -98,26 +102,28 @@
 
 
 def create_gateway(configuration: Configuration) -> Gateway:
-    """Create the gateway, which listens at once; exit where it can't."""
+    """Create the gateway, which starts to listen; exit with an error if it cannot."""
     try:
         return Gateway(configuration)
     except ConfigurationError as err:
         exit_with_error(str(err))
     except OSError as err:
-        exit_with_error(f"cannot listen on {listening_places(configuration)}: {err.strerror}")
+        exit_with_error(f"cannot listen on {listen_addresses(configuration)}: {err.strerror}")
 
 
-def listening_places(configuration: Configuration) -> str:
-    """Return the addresses and the inherited descriptor that a gateway listens on."""
-    candidates = (configuration.gateway, configuration.embeddings, configuration.admin)
-    places = " or ".join(f"{file.listen[0]}:{file.listen[1]}" for file in candidates if file)
+def listen_addresses(configuration: Configuration) -> str:
+    """Return the addresses and the inherited descriptor on which a gateway listens."""
+    sections = (configuration.gateway, configuration.embeddings, configuration.admin)
+    addresses = " or ".join(
+        f"{section.listen[0]}:{section.listen[1]}" for section in sections if section
+    )
     descriptor = configuration.gateway.inherited_socket
-    return places if descriptor is None else f"{places} (given descriptor {descriptor})"
+    return addresses if descriptor is None else f"{addresses} (inherited descriptor {descriptor})"
 
 
 def reread_configuration(config: str, etcd: str) -> tuple[GatewayConfig, Address]:
-    """Read the files that a reload applies; return the configuration and discovery's address."""
-    # The environment names discovery as of the start; the file is newer.
+    """Read the files that a reload applies; return the configuration and address of discovery."""
+    # The environment holds the address of discovery as of the start; the file is newer.
     environment = {name: value for name, value in os.environ.items() if name != "PROXY_DISCOVERY"}
     gateway = read_config(config, environment)
     return gateway, read_etcd(etcd).address if etcd else gateway.discovery
@@ -133,7 +139,7 @@
     cooperation: CooperationOption = "",
     trace: TraceOption = False,
 ) -> None:
-    """Runs the gateway until SIGTERM; SIGHUP reads the configuration anew."""
+    """Run the gateway until SIGTERM; SIGHUP reloads the configuration."""
     gateway = create_gateway(load(config, embeddings, admin, etcd, http2, cooperation))
     if trace:
         gateway.trace()
@@ -149,60 +155,62 @@
     http2: Http2Option = "",
     cooperation: CooperationOption = "",
 ) -> None:
-    """Reads the configuration and says what it holds, or what is wrong with it."""
+    """Validate the configuration files and print a summary of each."""
     configuration = load(config, embeddings, admin, etcd, http2, cooperation)
     for description in describe(configuration):
         print(f"ok: {description}")
 
 
 def describe(configuration: Configuration) -> Iterator[str]:
-    """Yield a line on what each configuration file says."""
+    """Yield a one-line summary of each configuration file."""
     gateway = configuration.gateway
     yield (
         f"{gateway.name or 'unnamed'} listens on {gateway.listen[0]}:{gateway.listen[1]}, "
         f"{len(gateway.settings.classes)} classes, "
-        f"{len(gateway.saved_list.get('targets', []))} known engines"
+        f"{len(gateway.saved_list.get('targets', []))} engines in the saved list"
     )
     embeddings = configuration.embeddings
     if embeddings:
         yield (
-            f"embeddings listen on {embeddings.listen[0]}:{embeddings.listen[1]}, "
-            f"{embeddings.max_requests} requests at most, "
-            f"kinds {', '.join(embeddings.settings.roles)}"
+            f"embeddings service listens on {embeddings.listen[0]}:{embeddings.listen[1]}, "
+            f"at most {embeddings.max_requests} requests, "
+            f"machine kinds {', '.join(embeddings.settings.roles)}"
         )
     admin = configuration.admin
     if admin:
         yield (
-            f"administration listens on {admin.listen[0]}:{admin.listen[1]}, "
-            f"tenants in {admin.tenants}"
+            f"administration API listens on {admin.listen[0]}:{admin.listen[1]}, "
+            f"tenants file {admin.tenants}"
         )
     etcd = configuration.etcd
     if etcd:
         yield (
-            f"the list of engines comes from etcd at {etcd.address[0]}:{etcd.address[1]}, "
-            f"under {etcd.prefix}"
+            f"endpoint list from etcd at {etcd.address[0]}:{etcd.address[1]}, "
+            f"keys under {etcd.prefix}"
         )
     cooperation = configuration.cooperation
     if cooperation:
         yield (
-            f"gateways cooperate: a probe each {cooperation.members.period_ms} ms, "
+            f"gateways cooperate: one membership probe per {cooperation.members.period_ms} ms, "
             f"{len(cooperation.members.keys)} keys"
         )
     http2 = configuration.http2
     if http2:
-        engines = "all engines that name no other protocol" if http2.everywhere else "h2c engines"
+        engines = (
+            "all engines that specify no other protocol" if http2.everywhere else "h2c engines"
+        )
         yield (
-            f"HTTP/2 towards {engines}, {http2.connections} connections to each, "
-            f"{http2.streams} streams on one"
+            f"HTTP/2 to {engines}, {http2.connections} connections per engine, "
+            f"{http2.streams} streams per connection"
         )
 
 
 @app.command()
 def emulate(
-    fleet: Annotated[str, typer.Argument(help="File of the fleet, as deploy/fleet.toml.")],
+    fleet: Annotated[str, typer.Argument(help="Fleet file, such as deploy/fleet.toml.")],
 ) -> None:
-    """Runs emulated engines and their discovery on loopback, until SIGTERM."""
-    # Imported only here: a gateway needs none of this.
+    """Run emulated engines and their discovery service on loopback until SIGTERM."""
+    # Imported on use: a gateway does not need the emulator.
     from .config.operator_files import read
     from .emulator.engine_server import EmulatedFleet
     from .emulator.fleet_file import FleetFile
@@ -210,32 +218,35 @@
     loop = EventLoop()
 
     def log(text: str) -> None:
+        """Write one log line of the emulator."""
         log_line(f"{loop.unix_time() / SECOND:.3f} emulator {text}")
 
     try:
-        world = EmulatedFleet(loop, read(fleet, FleetFile), log)
+        emulated_fleet = EmulatedFleet(loop, read(fleet, FleetFile), log)
     except ConfigurationError as err:
         exit_with_error(str(err))
     except OSError as err:
         exit_with_error(f"cannot listen: {err.strerror}")
     loop.on_signals({signal.SIGTERM: loop.stop, signal.SIGINT: loop.stop})
-    discovery = "{}:{}".format(*world.discovery.address)
-    control = "{}:{}".format(*world.control.address)
-    world.log(f"emulating engines={len(world.servers)} discovery={discovery} control={control}")
+    discovery = "{}:{}".format(*emulated_fleet.discovery.address)
+    control = "{}:{}".format(*emulated_fleet.control.address)
+    emulated_fleet.log(
+        f"emulating engines={len(emulated_fleet.servers)} discovery={discovery} control={control}"
+    )
     loop.run()
 
 
 @app.command()
 def demo(
-    fleet: Annotated[str, typer.Option(help="File of the fleet.")] = "deploy/fleet.toml",
+    fleet: Annotated[str, typer.Option(help="Fleet file.")] = "deploy/fleet.toml",
     seconds: Annotated[float, typer.Option(min=2, max=600)] = 10.0,
-    rate: Annotated[float, typer.Option(min=1, max=100, help="Requests a second.")] = 22.0,
-    quiet: Annotated[bool, typer.Option("--quiet", help="Without the progress bar.")] = False,
+    rate: Annotated[float, typer.Option(min=1, max=100, help="Requests per second.")] = 22.0,
+    quiet: Annotated[bool, typer.Option("--quiet", help="Hide the progress bar.")] = False,
     http2: Http2Option = "",
 ) -> None:
-    """Emulated engines, two gateways and a short mixed load, with a drain and a restart.
+    """Run two gateways on emulated engines under a short mixed load, with a drain and a restart.
 
-    Exit status 0 only if each request had its one answer, served or refused.
+    Exits with status 0 only if each request was answered exactly once, served or rejected.
     """
     from .emulator.demo import run_demo
 
@@ -244,17 +255,21 @@
 
 @app.command()
 def drill(
-    file: Annotated[str, typer.Argument(help="File of the drill, as deploy/drills/kill.toml.")],
-    gateways: Annotated[int, typer.Option(help="How many; 0: as the file says.")] = 0,
-    seed: Annotated[int, typer.Option(help="Of the load; 0: as the file says.")] = 0,
-    plain: Annotated[bool, typer.Option("--plain", help="With --cooperation off.")] = False,
-    json_file: Annotated[str, typer.Option("--json", help="Where the whole report goes.")] = "",
-    plot: Annotated[str, typer.Option(help="Where a chart goes (needs matplotlib).")] = "",
+    file: Annotated[
+        str, typer.Argument(help="Fault scenario file, such as deploy/drills/kill.toml.")
+    ],
+    gateways: Annotated[int, typer.Option(help="Number of gateways; 0: as in the file.")] = 0,
+    seed: Annotated[int, typer.Option(help="Seed of the load; 0: as in the file.")] = 0,
+    plain: Annotated[
+        bool, typer.Option("--plain", help="Disable the cooperation between gateways.")
+    ] = False,
+    json_file: Annotated[str, typer.Option("--json", help="Output file of the full report.")] = "",
+    plot: Annotated[str, typer.Option(help="Output file of a chart (requires matplotlib).")] = "",
     cooperation: CooperationOption = "deploy/cooperation.toml",
 ) -> None:
-    """Many gateways over emulated engines, faults between them, and an audit.
+    """Run a fault scenario: many gateways on emulated engines, with injected faults.
 
-    Exit status 0 only if the audit holds.
+    Exits with status 0 only if all invariant checks pass.
     """
     from .emulator.fault_scenario import run_scenario
 
@@ -266,33 +281,35 @@
 
 
 def read_seeds(text: str) -> list[int]:
-    """Read seeds such as "7", "1-5" or "1,4,9"."""
+    """Parse seeds such as "7", "1-5" or "1,4,9"."""
     seeds: list[int] = []
     try:
         for part in text.split(","):
             first, dash, last = part.partition("-")
             seeds += range(int(first), int(last if dash else first) + 1)
     except ValueError:
-        exit_with_error(f"seeds are numbers such as 7, 1-5 or 1,4,9, not {text!r}")
+        exit_with_error(f"seeds must be numbers such as 7, 1-5 or 1,4,9, not {text!r}")
     if not seeds or len(seeds) > MAX_SEEDS:
-        exit_with_error(f"one to {MAX_SEEDS} seeds, not {len(seeds)}")
+        exit_with_error(f"the number of seeds must be 1 to {MAX_SEEDS}, not {len(seeds)}")
     return seeds
 
 
 @app.command()
 def soak(
-    seeds: Annotated[str, typer.Option(help="Such as 7, 1-5 or 1,4,9.")] = "1",
-    seconds: Annotated[float, typer.Option(min=6, max=3600, help="Of load, each seed.")] = 30.0,
+    seeds: Annotated[str, typer.Option(help="Seeds, such as 7, 1-5 or 1,4,9.")] = "1",
+    seconds: Annotated[
+        float, typer.Option(min=6, max=3600, help="Duration of the load of each seed.")
+    ] = 30.0,
     gateways: Annotated[int, typer.Option(min=2, max=40)] = 24,
-    rate: Annotated[float, typer.Option(min=1, max=200, help="Clients a second.")] = 30.0,
+    rate: Annotated[float, typer.Option(min=1, max=200, help="New clients per second.")] = 30.0,
     keep: Annotated[
-        str, typer.Option(help="Folder in which logs and configurations are kept.")
+        str, typer.Option(help="Directory in which logs and configurations are kept.")
     ] = "",
     cooperation: CooperationOption = "",
 ) -> None:
-    """Real gateways under storms of troubles that overlap, judged by the rules.
+    """Run a soak test: gateway processes under overlapping faults, with invariant checks.
 
-    Exit status 0 only if no rule is broken on any seed.
+    Exits with status 0 only if no invariant is violated for any seed.
     """
     from .emulator.soak_test import run_seed
 
@@ -304,11 +321,11 @@
         except ConfigurationError as err:
             exit_with_error(str(err))
     if failed_seeds:
-        print(f"BROKEN on seeds {', '.join(str(seed) for seed in failed_seeds)}")
+        print(f"BROKEN for seeds {', '.join(str(seed) for seed in failed_seeds)}")
     raise typer.Exit(1 if failed_seeds else 0)
 
 
 @app.command()
 def version() -> None:
-    """Prints the version."""
+    """Print the version."""
     print(f"claycross {VERSION}")
