--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, started by the deploy file's own command."""
+"""Tests of the adapter as a process, started with the command of the deployment file."""
 
 import json
 import pathlib
@@ -47,14 +47,19 @@
 
 
 @pytest.fixture(scope="session", autouse=True)
-def built():
+def adapter_build():
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True)
 
 
-def run(*lines):
+def run_adapter(*lines):
     text = "".join((line if isinstance(line, str) else json.dumps(line)) + "\n" for line in lines)
     return subprocess.run(
-        ["/bin/sh", "-c", DEPLOY["sim"]], cwd=ROOT, input=text, capture_output=True, text=True
+        ["/bin/sh", "-c", DEPLOY["sim"]],
+        cwd=ROOT,
+        input=text,
+        capture_output=True,
+        text=True,
+        check=False,
     )
 
 
@@ -62,7 +67,7 @@
     return {"moment": moment, "news": list(news)}
 
 
-def test_a_request_goes_to_the_reader_and_then_to_the_writer():
+def test_a_request_goes_to_a_reader_and_then_to_a_writer():
     staged = {
         "Response": {
             "who": "node-0",
@@ -74,34 +79,39 @@
             "stats": {"x0": 0.1, "x1": 0.2},
         }
     }
-    done = run(
+    result = run_adapter(
         batch(10**9), batch(10**9, LAUNCH, ENGINES), batch(10**9, QUERY), batch(2 * 10**9, staged)
     )
-    assert (done.returncode, done.stderr) == (0, "")
-    replies = [json.loads(line)["decisions"] for line in done.stdout.splitlines()]
+    assert (result.returncode, result.stderr) == (0, "")
+    replies = [json.loads(line)["decisions"] for line in result.stdout.splitlines()]
     assert replies[0] == []
-    placed = [a["Place"] for reply in replies for a in reply if "Place" in a]
-    assert [p["engine"] for p in placed] == ["e:1", "e:2"]
+    placements = [action["Place"] for reply in replies for action in reply if "Place" in action]
+    assert [placement["engine"] for placement in placements] == ["e:1", "e:2"]
     assert all(
-        p["who"] == "node-0" and p["msg-id"] == 9 and type(p["timeout"]) is int for p in placed
+        placement["who"] == "node-0"
+        and placement["msg-id"] == 9
+        and type(placement["timeout"]) is int
+        for placement in placements
     )
 
 
-def test_end_of_input_is_a_clean_exit():
-    done = run()
-    assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
+def test_the_end_of_input_exits_with_status_0():
+    result = run_adapter()
+    assert (result.returncode, result.stdout, result.stderr) == (0, "", "")
 
 
-def test_a_stopped_instance_acts_no_more_and_can_start_again():
+def test_a_stopped_instance_takes_no_actions_and_can_be_launched_again():
     stop = {"Exit": {"who": "node-0"}}
-    done = run(batch(0, LAUNCH, ENGINES), batch(1, QUERY, stop, LAUNCH, ENGINES), batch(2, QUERY))
-    replies = [json.loads(line)["decisions"] for line in done.stdout.splitlines()]
-    assert done.returncode == 0 and replies[1] == []
-    assert any("Place" in a for a in replies[2])
+    result = run_adapter(
+        batch(0, LAUNCH, ENGINES), batch(1, QUERY, stop, LAUNCH, ENGINES), batch(2, QUERY)
+    )
+    replies = [json.loads(line)["decisions"] for line in result.stdout.splitlines()]
+    assert result.returncode == 0 and replies[1] == []
+    assert any("Place" in action for action in replies[2])
 
 
 @pytest.mark.parametrize(
-    ("lines", "word"),
+    ("lines", "expected_text"),
     [
         (["{nonsense"], "JSON"),
         ([{"moment": 3}], "news"),
@@ -123,13 +133,15 @@
         ),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(lines, word):
-    done = run(*lines)
-    assert done.returncode != 0 and len(done.stderr.splitlines()) == 1
-    assert word in done.stderr and "Traceback" not in done.stderr
+def test_invalid_input_exits_with_a_one_line_error(lines, expected_text):
+    result = run_adapter(*lines)
+    assert result.returncode != 0 and len(result.stderr.splitlines()) == 1
+    assert expected_text in result.stderr and "Traceback" not in result.stderr
 
 
-def test_the_example_of_the_readme_runs():
+def test_the_readme_example_runs():
     code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
-    done = subprocess.run(["python3", "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout == "read at 10.0.0.1:80\nwrite at 10.0.0.2:80\n", done.stderr
+    result = subprocess.run(
+        ["python3", "-c", code], cwd=ROOT, capture_output=True, text=True, check=False
+    )
+    assert result.stdout == "read at 10.0.0.1:80\nwrite at 10.0.0.2:80\n", result.stderr
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""What each room of the program may know of: its imports, read from the source."""
+"""Tests of the layout: which modules each package may import, read from the source."""
 
 import ast
 import pathlib
@@ -8,7 +8,8 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent / "claycross"
-PURE = {
+# Standard modules that do no I/O and read no clock.
+PURE_STANDARD_MODULES = {
     "__future__",
     "bisect",
     "collections",
@@ -23,10 +24,9 @@
     "statistics",
     "typing",
 }
-WIRES = {"http1.py", "http1_encoding.py", "http2.py", "line_protocol.py"}
+PROTOCOL_FILES = {"http1.py", "http1_encoding.py", "http2.py", "line_protocol.py"}
 INTERFACE = ROOT / "interface.py"
-# Packages of decisions and state, and single files of other packages, that do no I/O and read no
-# clock.
+# Packages, and single files of other packages, that do no I/O and read no clock.
 PURE_PACKAGES = ("routing", "fleet")
 PURE_SINGLE_FILES = (
     "requests/preconditions.py",
@@ -51,17 +51,18 @@
 PURE_MODULES = {
     ".".join(("claycross", *path.relative_to(ROOT).with_suffix("").parts)) for path in PURE_FILES
 } | {f"claycross.{package}" for package in PURE_PACKAGES}
-LIBRARIES = {
+# Libraries of features that are disabled on the platform.
+OPTIONAL_LIBRARIES = {
     "h2",
     "hpack",
     "hyperframe",
     "msgspec",
     "prometheus_client",
-}  # of what is off on the platform
+}
 
 
 def imports(path):
-    """Absolute names of all that a file imports, inside functions too."""
+    """Yield the absolute names of all modules that a file imports, also inside functions."""
     tree = ast.parse(path.read_text())
     package = ("claycross", *path.relative_to(ROOT).parent.parts)
     for node in ast.walk(tree):
@@ -76,48 +77,54 @@
                 yield submodule if is_file else module
 
 
-@pytest.mark.parametrize("path", PURE_FILES, ids=lambda p: str(p.relative_to(ROOT)))
-def test_decisions_do_no_io_and_read_no_clock(path):
+@pytest.mark.parametrize("path", PURE_FILES, ids=lambda path: str(path.relative_to(ROOT)))
+def test_pure_modules_do_no_io_and_read_no_clock(path):
     for name in imports(path):
-        standard = name in PURE or name.split(".")[0] in PURE
-        own = name in PURE_MODULES or name in ("claycross.interface", "claycross.invariant")
-        seeded = name == "random" and path.parent.name == "routing"  # numbers from a given seed
-        assert standard or own or seeded, f"{path.name} imports {name}"
-    called = {
-        n.func.id
-        for n in ast.walk(ast.parse(path.read_text()))
-        if isinstance(n, ast.Call) and isinstance(n.func, ast.Name)
+        is_standard = name in PURE_STANDARD_MODULES or name.split(".")[0] in PURE_STANDARD_MODULES
+        is_own = name in PURE_MODULES or name in ("claycross.interface", "claycross.invariant")
+        # The router draws its random numbers from a given seed.
+        is_seeded = name == "random" and path.parent.name == "routing"
+        assert is_standard or is_own or is_seeded, f"{path.name} imports {name}"
+    called_names = {
+        node.func.id
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.Call) and isinstance(node.func, ast.Name)
     }
-    assert not called & {"open", "print", "input", "eval", "exec", "__import__"}
+    assert not called_names & {"open", "print", "input", "eval", "exec", "__import__"}
 
 
 @pytest.mark.parametrize(
-    "room", sorted({str(p.parent.relative_to(ROOT)) for p in ROOT.rglob("*.py")})
+    "package", sorted({str(path.parent.relative_to(ROOT)) for path in ROOT.rglob("*.py")})
 )
-def test_no_files_of_a_room_import_each_other_in_a_circle(room):
-    """Not even for the sake of types: what such files know of each other can't be told apart."""
-    names = {
-        ".".join(("claycross", *p.relative_to(ROOT).with_suffix("").parts)): p
-        for p in (ROOT / room).glob("*.py")
+def test_files_of_a_package_have_no_circular_imports(package):
+    """Imports for type checking count as well."""
+    paths = {
+        ".".join(("claycross", *path.relative_to(ROOT).with_suffix("").parts)): path
+        for path in (ROOT / package).glob("*.py")
+    }
+    dependencies = {
+        module: {imported for imported in imports(path) if imported in paths}
+        for module, path in paths.items()
     }
-    knows = {name: {f for f in imports(path) if f in names} for name, path in names.items()}
-    while leaves := [name for name, others in knows.items() if not others]:
-        for name in leaves:
-            del knows[name]
-        for others in knows.values():
-            others -= set(leaves)
-    assert not knows
+    while leaves := [module for module, imported in dependencies.items() if not imported]:
+        for module in leaves:
+            del dependencies[module]
+        for imported in dependencies.values():
+            imported.difference_update(leaves)
+    assert not dependencies
 
 
 @pytest.mark.parametrize(
     "path",
-    [p for p in sorted((ROOT / "net").glob("*.py")) if p.name in WIRES],
-    ids=lambda p: p.name,
+    [path for path in sorted((ROOT / "net").glob("*.py")) if path.name in PROTOCOL_FILES],
+    ids=lambda path: path.name,
 )
-def test_wires_know_no_socket_and_no_clock(path):
-    barred = {"socket", "select", "os", "time", "random", "greenlet"}
-    barred |= {f"claycross.net.{name}" for name in ("loop", "event_loop", "connection", "listener")}
-    assert not barred & set(imports(path))
+def test_protocol_modules_import_no_socket_and_no_clock(path):
+    forbidden = {"socket", "select", "os", "time", "random", "greenlet"}
+    forbidden |= {
+        f"claycross.net.{name}" for name in ("loop", "event_loop", "connection", "listener")
+    }
+    assert not forbidden & set(imports(path))
 
 
 @pytest.mark.parametrize(
@@ -127,21 +134,22 @@
         *sorted((ROOT / "requests").glob("*.py")),
         INTERFACE,
     ],
-    ids=lambda p: str(p.relative_to(ROOT)),
+    ids=lambda path: str(path.relative_to(ROOT)),
 )
-def test_routing_and_requests_know_no_wire(path):
-    found = set(imports(path))
+def test_routing_and_requests_depend_on_no_protocol(path):
+    imported = set(imports(path))
     assert not any(
-        n.startswith(("claycross.net", "claycross.upstream", "claycross.frontends")) for n in found
+        name.startswith(("claycross.net", "claycross.upstream", "claycross.frontends"))
+        for name in imported
     )
     assert not any(word in path.read_text().lower() for word in ("http", "grpc", "h2c"))
 
 
-def test_what_is_off_on_the_platform_costs_its_start_nothing():
-    """None of these libraries is imported by what is always imported."""
+def test_optional_libraries_are_not_imported_at_start():
+    """Features that are disabled on the platform must not slow down its start."""
     code = "import sys, claycross.cli; print(*sorted(m for m in sys.modules if '.' not in m))"
-    found = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT.parent, capture_output=True, text=True
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT.parent, capture_output=True, text=True, check=False
     )
-    assert found.returncode == 0 and "claycross" in found.stdout.split()
-    assert not LIBRARIES & set(found.stdout.split())
+    assert result.returncode == 0 and "claycross" in result.stdout.split()
+    assert not OPTIONAL_LIBRARIES & set(result.stdout.split())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What the operators hold the module to, and that a run repeats."""
+"""Tests of limits on the code: file length, determinism, cost of a decision, version."""
 
 import os
 import pathlib
@@ -12,44 +12,45 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 ROUTER = ROOT / "claycross" / "routing" / "router.py"
-LONGEST_FILE = 500  # lines
-STILL_TO_SPLIT = {
+MAX_FILE_LINES = 500
+# Files that are still to be split, with their current number of lines as their limit.
+FILES_TO_SPLIT = {
     "claycross/emulator/fault_scenario.py": 571,
     "claycross/emulator/model.py": 656,
     "claycross/emulator/soak_test.py": 656,
 }
-REPEAT = """
+DETERMINISM_SCRIPT = """
 from tests.routing.router_harness import RouterHarness, MS
-d = RouterHarness(seed=7)
+harness = RouterHarness(seed=7)
 for n in range(60):
-    d.ask(n, session=f"s{n % 9}", prefix=f"p{n % 5}", prefix_tokens=800)
-    d.now += 7 * MS
+    harness.ask(n, session=f"s{n % 9}", prefix=f"p{n % 5}", prefix_tokens=800)
+    harness.now += 7 * MS
     if n % 3:
-        d.reply(n, "read" if n % 4 else "reset")
-print(d.log)
+        harness.reply(n, "read" if n % 4 else "reset")
+print(harness.log)
 """
 
 
-def test_no_file_of_the_program_is_too_long():
-    """A longer file does more than one job. Those that are still to be split are listed with their
-    length: they may not grow, and are taken off the list once they are short enough."""
+def test_program_files_stay_within_the_line_limit():
+    """A longer file does more than one job. Files that are still to be split are listed with their
+    length: they must not grow, and leave the list once they are short enough."""
     lengths = {
         str(path.relative_to(ROOT)): len(path.read_text().splitlines())
         for path in (ROOT / "claycross").rglob("*.py")
     }
-    too_long = {name: length for name, length in lengths.items() if length > LONGEST_FILE}
-    assert too_long.keys() == STILL_TO_SPLIT.keys()
-    assert all(length <= STILL_TO_SPLIT[name] for name, length in too_long.items()), too_long
+    too_long = {name: length for name, length in lengths.items() if length > MAX_FILE_LINES}
+    assert too_long.keys() == FILES_TO_SPLIT.keys()
+    assert all(length <= FILES_TO_SPLIT[name] for name, length in too_long.items()), too_long
 
 
-def test_the_module_names_its_interface_at_its_top():
+def test_the_router_names_its_interface_in_its_first_lines():
     assert "interface.py" in "".join(ROUTER.read_text().splitlines()[:6])
 
 
-def test_the_same_events_give_the_same_actions_whatever_the_hash_seed():
-    outs = {
+def test_the_same_events_give_the_same_actions_for_any_hash_seed():
+    outputs = {
         subprocess.run(
-            [sys.executable, "-c", REPEAT],
+            [sys.executable, "-c", DETERMINISM_SCRIPT],
             cwd=ROOT,
             check=True,
             capture_output=True,
@@ -57,37 +58,40 @@
         ).stdout
         for seed in ("1", "2", "77")
     }
-    assert len(outs) == 1 and len(outs.pop()) > 1000
+    assert len(outputs) == 1 and len(outputs.pop()) > 1000
 
 
 def test_work_per_decision_grows_no_faster_than_the_fleet(monkeypatch):
-    """Medians taken anew for every engine that is ranked made the work grow with the square of the
-    fleet."""
+    """Guards against work that grows with the square of the fleet: it did when the medians were
+    recomputed for each ranked engine."""
 
-    def compared(size: int) -> int:
-        seen = []
+    def compared_values(fleet_size: int) -> int:
+        median_sizes = []
         monkeypatch.setattr(
-            outlier_detection, "median", lambda paces: seen.append(len(paces)) or median(paces)
+            outlier_detection,
+            "median",
+            lambda paces: median_sizes.append(len(paces)) or median(paces),
         )
-        d = RouterHarness(
-            engines=[f"{kind}{n}" for kind in "rw" for n in range(1, size + 1)], gateway_count=50
+        harness = RouterHarness(
+            engines=[f"{kind}{n}" for kind in "rw" for n in range(1, fleet_size + 1)],
+            gateway_count=50,
         )
-        for e in d.router.health.engines.values():
-            e.pace, e.samples = 50_000.0, 9
+        for engine in harness.router.health.engines.values():
+            engine.pace, engine.samples = 50_000.0, 9
         for n in range(20):
-            d.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
-        return sum(seen)
+            harness.serve(n, session=f"s{n}", prefix=f"p{n % 5}", prefix_tokens=600)
+        return sum(median_sizes)
 
-    assert compared(80) <= 5 * compared(20)
+    assert compared_values(80) <= 5 * compared_values(20)
 
 
-def test_the_package_and_the_program_name_the_same_version():
+def test_the_package_and_the_program_report_the_same_version():
     declared = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["version"]
-    shown = subprocess.run(
+    printed = subprocess.run(
         [sys.executable, "-m", "claycross", "version"],
         cwd=ROOT,
         check=True,
         capture_output=True,
         text=True,
     )
-    assert shown.stdout.split()[-1] == declared
+    assert printed.stdout.split()[-1] == declared
