--- a/claycross/emulator/client.py
+++ b/claycross/emulator/client.py
@@ -1,8 +1,7 @@
-"""A client of a gateway on a socket of its own: it may leave early, send requests in a row, or
-junk.
+"""An HTTP client on a raw socket, for tests and benches of gateways.
 
-Owns one connection from its dial to its end, and the reading of answers. It must never take an
-answer that was cut short for a whole one.
+Unlike a plain client it can leave early, send requests in a row without waiting for answers, and
+send malformed ones. An answer that ends early is never taken for a complete one.
 """
 
 from __future__ import annotations
@@ -14,33 +13,38 @@
 from typing import BinaryIO
 
 REFUSALS = (429, 503)
-WRITTEN_AT = re.compile(rb'"at":([0-9.]+)')  # by an engine on this machine
+# The time at which an emulated engine on this machine sent an event (`encode_event`).
+SENT_AT = re.compile(rb'"at":([0-9.]+)')
+LINE_END = b"\r\n"
 
 
 class ConnectionBrokenError(OSError):
-    """The connection ended in the midst of an answer."""
+    """The connection ended before or within an answer."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """One answer: "served", "refused", "failed", or "broken" after it began."""
+    """One answer: "served", "refused" or "failed", or "broken" if it ended early."""
 
     how: str
-    first: float  # when its head was here, by the monotonic clock
-    delay: float = (
-        0.0  # the longest that one of its events was under way, where events tell their time
-    )
+    first: float  # when its head was complete, by the monotonic clock, in seconds
+    delay: float = 0.0  # the longest of its events' ways, in seconds, if events hold their time
 
 
 class Connection:
-    """One connection to a gateway."""
+    """One connection to a gateway on this machine.
+
+    Args:
+        port: The gateway's port.
+        timeout: Seconds of each wait.
+    """
 
     def __init__(self, port: int, timeout: float):
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=timeout)
-        self.port = self.sock.getsockname()[1]
+        self.port = self.sock.getsockname()[1]  # this side's
         self.file: BinaryIO = self.sock.makefile("rb")
-        self.delay = 0.0
-        self.ends = False  # the last answer said that its connection closes
+        self.delay = 0.0  # of the present answer, as in Answer
+        self.ends = False  # whether the last answer announced the end of the connection
 
     def __enter__(self) -> Connection:
         return self
@@ -50,60 +54,80 @@
         self.sock.close()
 
     def send(self, data: bytes) -> None:
-        """All of it."""
+        """Send all of the data."""
         self.sock.sendall(data)
 
     def answer(self) -> Answer:
-        """The next answer; OSError where none begins."""
-        words = self.line().split()
-        first, self.delay = time.monotonic(), 0.0
-        if len(words) < 2 or not words[1].isdigit():
+        """Read the next answer.
+
+        Raises:
+            OSError: If no answer begins.
+        """
+        status_line = self.read_line().split()
+        first = time.monotonic()
+        self.delay = 0.0
+        if len(status_line) < 2 or not status_line[1].isdigit():
             raise ConnectionBrokenError("no status line")
         try:
-            headers = self.headers()
+            headers = self.read_headers()
             self.ends = headers.get("connection", "").lower() == "close"
-            self.body(headers)
+            self.read_body(headers)
         except OSError:
             return Answer("broken", first, self.delay)
-        status = int(words[1])
+        status = int(status_line[1])
         how = "served" if status == 200 else "refused" if status in REFUSALS else "failed"
         return Answer(how, first, self.delay)
 
-    def line(self) -> bytes:
+    def read_line(self) -> bytes:
+        """Read a line, with its end."""
         line = self.file.readline()
         if not line.endswith(b"\n"):
-            raise ConnectionBrokenError("ended")
+            raise ConnectionBrokenError("the connection ended within a line")
         return line
 
-    def headers(self) -> dict[str, str]:
-        found = {}
-        while line := self.line().strip():
+    def read_headers(self) -> dict[str, str]:
+        """Read the headers; names in lower case."""
+        headers = {}
+        while line := self.read_line().strip():
             name, _, value = line.decode("latin-1").partition(":")
-            found[name.lower()] = value.strip()
-        return found
+            headers[name.lower()] = value.strip()
+        return headers
 
-    def body(self, headers: dict[str, str]) -> None:
+    def read_body(self, headers: dict[str, str]) -> None:
+        """Read the body and record the longest delay of its events."""
         if "chunked" not in headers.get("transfer-encoding", ""):
-            self.exactly(int(headers.get("content-length", 0)))
+            self.read_exactly(int(headers.get("content-length", 0)))
             return
-        while size := int(self.line(), 16):
-            data, now = self.exactly(size + 2), time.monotonic()
-            for written in WRITTEN_AT.findall(data):
-                self.delay = max(self.delay, now - float(written))
-        self.line()
-
-    def exactly(self, size: int) -> bytes:
+        while size := int(self.read_line(), 16):
+            data = self.read_exactly(size + len(LINE_END))
+            now = time.monotonic()
+            for sent_at in SENT_AT.findall(data):
+                self.delay = max(self.delay, now - float(sent_at))
+        self.read_line()
+
+    def read_exactly(self, size: int) -> bytes:
+        """Read this many bytes."""
         data = self.file.read(size)
         if len(data) != size:
-            raise ConnectionBrokenError("ended in its body")
+            raise ConnectionBrokenError("the connection ended within a body")
         return data
 
 
 def request(
     key: str, cls: str, session: str, prompt: int, span: float, body: bytes, prefix: str = ""
 ) -> bytes:
-    """The bytes of one chat request. `prefix`: names a shared opening, half of the prompt."""
-    opening = f",prefix={prefix},prefix_len={prompt // 2}" if prefix else ""
+    """Return the bytes of one chat request.
+
+    Args:
+        key: Its id.
+        cls: Its priority class.
+        session: Its routing key.
+        prompt: Tokens of its prompt.
+        span: Its timeout in seconds.
+        body: Its body.
+        prefix: The name of a prefix that it shares with others, half of the prompt; empty: none.
+    """
+    shared = f",prefix={prefix},prefix_len={prompt // 2}" if prefix else ""
     lines = [
         "POST /v1/chat/completions HTTP/1.1",
         "Host: origin.svc",
@@ -111,7 +135,7 @@
         f"X-Priority-Class: {cls}",
         f"X-Route-Key: {session}",
         f"X-Timeout-Ms: {int(span * 1000)}",
-        f"X-Attrs: prompt_len={prompt},max_out=60{opening}",
+        f"X-Attrs: prompt_len={prompt},max_out=60{shared}",
         f"Content-Length: {len(body)}",
     ]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
