--- a/claycross/emulator/http_servers.py
+++ b/claycross/emulator/http_servers.py
@@ -85,14 +85,14 @@
     def __init__(self, loop: EventLoop, head: Head, body: bytes, conn: Connection):
         super().__init__(loop, head, body)
         self.conn = conn
-        conn.idle = self.leave  # closed, or bytes that nobody asked for
+        conn.on_idle_event = self.leave  # closed, or bytes that nobody asked for
         conn.watch()
 
     def send(self, data: bytes) -> None:
         self.conn.send(data, STALL)
 
     def whole(self, status: int, headers: Pairs | None = None, body: bytes = b"") -> None:
-        self.conn.idle = None
+        self.conn.on_idle_event = None
         self.send(encode_response(status, headers, body))
 
     def begin(self, headers: Pairs) -> None:
@@ -102,7 +102,7 @@
         self.send(encode_chunk(data))
 
     def end(self) -> None:
-        self.conn.idle = None
+        self.conn.on_idle_event = None
         self.send(LAST_CHUNK)
 
     def cut(self) -> None:
