--- a/claycross/frontends/metrics.py
+++ b/claycross/frontends/metrics.py
@@ -29,12 +29,12 @@
     dispatches: int = 0  # attempts sent to engines
     concurrent: int = 0  # requests under way
     targets: int = 0  # listed engines
-    banned: int = 0  # listed engines that an operator has disabled
+    disabled: int = 0  # listed engines that an operator has disabled
     avoided: int = 0  # listed engines that the gateway itself avoids, and that are not disabled
     draining: int = 0  # listed engines that discovery reports as draining
     started: float = 0.0  # Unix time of the process's start, in seconds
     # Further counters, named by the modules that keep them.
-    more: dict[str, int] = field(default_factory=dict)
+    other_counters: dict[str, int] = field(default_factory=dict)
     # The other gateways by their state as seen by this one, and counts of membership messages.
     members: dict[str, int] = field(default_factory=dict)
 
@@ -65,7 +65,7 @@
         yield gauge(
             "gateway_targets_disabled",
             "Listed engines avoided, by hand or by the gateway's choice.",
-            snapshot.banned + snapshot.avoided,
+            snapshot.disabled + snapshot.avoided,
         )
         yield avoided_targets(snapshot)
         yield gauge(
@@ -95,7 +95,7 @@
     metric = GaugeMetricFamily(
         "gateway_targets_avoided", "Listed engines avoided, by why.", labels=["why"]
     )
-    metric.add_metric(["operator"], snapshot.banned)
+    metric.add_metric(["operator"], snapshot.disabled)
     metric.add_metric(["gateway"], snapshot.avoided)
     metric.add_metric(["draining"], snapshot.draining)
     return metric
@@ -116,7 +116,7 @@
         for name, count in snapshot.members.items()
         if not name.startswith(MEMBERSHIP_PREFIX)
     }
-    for name, count in sorted((snapshot.more | membership_counts).items()):
+    for name, count in sorted((snapshot.other_counters | membership_counts).items()):
         help_text = f"Count of {name.replace('_', ' ')}, since the start."
         yield counter(f"gateway_{name}", help_text, count)
 
--- a/claycross/frontends/tenants.py
+++ b/claycross/frontends/tenants.py
@@ -64,7 +64,7 @@
             key: tenant for key, tenant in self.names_by_digest.items() if tenant != name
         }
 
-    def named(self, head: Head) -> str:
+    def authenticate(self, head: Head) -> str:
         """Return the tenant whose key a request has.
 
         Raises:
--- a/claycross/gateway/gateway.py
+++ b/claycross/gateway/gateway.py
@@ -236,7 +236,7 @@
             frontends.append(EmbeddingsFrontend(self.loop, manager, embeddings))
             return
         tenants = Tenants(admin.tenants, embeddings.settings.tenants)
-        frontends.append(EmbeddingsFrontend(self.loop, manager, embeddings, tenants.named))
+        frontends.append(EmbeddingsFrontend(self.loop, manager, embeddings, tenants.authenticate))
         frontends.append(AdminFrontend(self.loop, manager, admin, tenants, self.statistics.status))
 
     def open_admin_socket(self) -> None:
--- a/claycross/gateway/statistics.py
+++ b/claycross/gateway/statistics.py
@@ -137,11 +137,11 @@
             dispatches=sum(manager.attempts_sent for manager in parts.managers),
             concurrent=sum(manager.unanswered() for manager in parts.managers),
             targets=len(listed),
-            banned=len(disabled & listed.keys()),
+            disabled=len(disabled & listed.keys()),
             avoided=len(avoided - disabled),
             draining=len(draining),
             started=self.started_at / SECOND,
-            more=self.further_counts(),
+            other_counters=self.further_counts(),
             members=parts.membership.metrics() if parts.membership else {},
         )
 
