--- a/claycross/frontends/admin_api.py
+++ b/claycross/frontends/admin_api.py
@@ -83,7 +83,7 @@
         else:
             headers = [("Content-Type", "application/json")]
             body = json.dumps(response.value).encode() + b"\n"
-        close = request.closes or self.draining
+        close = request.wants_close or self.draining
         connection.send(encode_response(response.status, headers, body, close), SEND_TIMEOUT_NS)
         return None
 
--- a/claycross/frontends/base.py
+++ b/claycross/frontends/base.py
@@ -148,7 +148,7 @@
         """Close each connection after its next response; new connections are still accepted."""
         self.draining = True
 
-    def ends_connections(self, inbox: Inbox | None) -> bool:
+    def is_last_response(self, inbox: Inbox | None) -> bool:
         """Return whether a response that is sent now is the last on its connection.
 
         A pipelined request that has been read ahead still needs a response. While draining, nothing
@@ -293,13 +293,13 @@
         Raises:
             RequestError: If the request is answered with an error.
         """
-        request = self.read(connection, inbox, first)
+        request = self.read_request(connection, inbox, first)
         if request is None:
             return False
         self.set_state(connection, ClientState.BUSY)
         accepted = self.handle_request(connection, request)
         if accepted is None:
-            return not (request.closes or self.ends_connections(inbox))
+            return not (request.wants_close or self.is_last_response(inbox))
         exchange = accepted.exchange
         exchange.inbox = inbox
         self.exchanges[connection] = exchange
@@ -307,7 +307,9 @@
         # Unless the response announced that the connection closes, the next request is served.
         return not exchange.close_after and not connection.closed
 
-    def read(self, connection: Connection, inbox: Inbox, first: bool) -> ClientRequest | None:
+    def read_request(
+        self, connection: Connection, inbox: Inbox, first: bool
+    ) -> ClientRequest | None:
         """Read the next request; None when the connection is to be closed."""
         parser = inbox.parser
         start = self.loop.now()
--- a/claycross/frontends/chat.py
+++ b/claycross/frontends/chat.py
@@ -74,7 +74,7 @@
             field for field in head.raw_headers if field[0].lower() not in UNFORWARDED_HEADERS
         ]
         payload = OutgoingRequest(head.method, head.target, headers, request.body)
-        exchange = Exchange(self, connection, request.closes)
+        exchange = Exchange(self, connection, request.wants_close)
         accepted = self.manager.accept(arrival, head.get("x-request-id"), payload, exchange)
         return AcceptedRequest(accepted, exchange)
 
@@ -85,7 +85,7 @@
         ready = self.ready()
         status = 200 if ready else 503
         headers, body = plain_text(status, "ready" if ready else "not ready")
-        close = request.closes or self.draining
+        close = request.wants_close or self.draining
         connection.send(encode_response(status, headers, body, close), SEND_TIMEOUT_NS)
 
     def parse_arrival(self, request: ClientRequest) -> RequestArrived:
--- a/claycross/frontends/embeddings.py
+++ b/claycross/frontends/embeddings.py
@@ -123,7 +123,7 @@
         timeout = self.timeout_of(head, endpoint.class_name)
         time_left = timeout - (self.loop.now() - request.received_at)
         deadline = self.loop.now() + time_left - DEADLINE_MARGIN_NS
-        exchange = BufferedExchange(self, connection, request.closes, deadline)
+        exchange = BufferedExchange(self, connection, request.wants_close, deadline)
         key = f"{self.config.seed:x}-{self.manager.last_number + 1}"
         arrival = RequestArrived(
             request=0,  # the request manager assigns the number
--- a/claycross/frontends/exchange.py
+++ b/claycross/frontends/exchange.py
@@ -28,7 +28,7 @@
         return self.head.target.partition("?")[0]
 
     @property
-    def closes(self) -> bool:
+    def wants_close(self) -> bool:
         """Whether the client asked for the connection to be closed after the response."""
         return not self.head.keeps_alive()
 
@@ -51,7 +51,7 @@
         """Return the headers and the body of an error response."""
         ...
 
-    def ends_connections(self, inbox: Inbox | None) -> bool:
+    def is_last_response(self, inbox: Inbox | None) -> bool:
         """Return whether a response that is sent now is the last on its connection."""
         ...
 
@@ -115,7 +115,7 @@
 
     def decide_closing(self) -> bool:
         """Decide and return whether the connection is closed after the response."""
-        self.close_after = self.close_after or self.frontend.ends_connections(self.inbox)
+        self.close_after = self.close_after or self.frontend.is_last_response(self.inbox)
         return self.close_after
 
     def close_exchange(self) -> None:
--- a/claycross/frontends/inbox.py
+++ b/claycross/frontends/inbox.py
@@ -45,7 +45,7 @@
         return not self.parser.buffer
 
     def full(self) -> bool:
-        """Return whether the read-ahead limit is reached; it ends with malformed bytes."""
+        """Return whether the read-ahead limit is reached; none applies after malformed bytes."""
         return self.size() >= MAX_READ_AHEAD_BYTES and not self.read_ahead_validator.malformed
 
     def size(self) -> int:
