--- a/bench/scale.py
+++ b/bench/scale.py
@@ -70,7 +70,7 @@
         fleet.write_text(plain_fleet(self.engines))
         emulator = GatewayProcess(self.folder, "emulator", "emulate", str(fleet))
         self.parts.append(emulator)
-        discovery, self.control = emulator.said(r"discovery=(\S+) control=(\S+)").groups()
+        discovery, self.control = emulator.wait_for_log(r"discovery=(\S+) control=(\S+)").groups()
         known = json.loads(ask(discovery, "GET", "/api/targets")[1])
         for n in range(GATEWAYS):
             config = {
@@ -85,7 +85,9 @@
             (self.folder / f"g{n}.json").write_text(json.dumps(config))
             path = str(self.folder / f"g{n}.json")
             self.parts.append(GatewayProcess(self.folder, f"g{n}", "serve", "--config", path))
-        self.ports = [int(part.said(r"serving listen=\S+:(\d+)")[1]) for part in self.parts[1:]]
+        self.ports = [
+            int(part.wait_for_log(r"serving listen=\S+:(\d+)")[1]) for part in self.parts[1:]
+        ]
 
     def one(self, number: int) -> None:
         """One request on a connection of its own."""
@@ -141,7 +143,7 @@
         helpers = [
             threading.Thread(target=work, daemon=True) for work in (self.trouble, self.watch)
         ]
-        before = [part.used()[0] for part in self.parts[1:]]
+        before = [part.resource_usage()[0] for part in self.parts[1:]]
         begin, threads = time.monotonic(), []
         for helper in helpers:
             helper.start()
@@ -151,7 +153,10 @@
             threads[-1].start()
         for thread in threads:
             thread.join(DEADLINE + 20)
-        cpu = [part.used()[0] - used for part, used in zip(self.parts[1:], before, strict=True)]
+        cpu = [
+            part.resource_usage()[0] - used
+            for part, used in zip(self.parts[1:], before, strict=True)
+        ]
         peak = [self.peak(part) for part in self.parts[1:]]
         time.sleep(10.5)  # the log's next statistics
         self.ended = True
--- a/claycross/emulator/client.py
+++ b/claycross/emulator/client.py
@@ -44,7 +44,7 @@
         self.port = self.sock.getsockname()[1]  # this side's
         self.file: BinaryIO = self.sock.makefile("rb")
         self.delay = 0.0  # of the present answer, as in Answer
-        self.ends = False  # whether the last answer announced the end of the connection
+        self.will_close = False  # whether the last answer announced the end of the connection
 
     def __enter__(self) -> Connection:
         return self
@@ -70,7 +70,7 @@
             raise ConnectionBrokenError("no status line")
         try:
             headers = self.read_headers()
-            self.ends = headers.get("connection", "").lower() == "close"
+            self.will_close = headers.get("connection", "").lower() == "close"
             self.read_body(headers)
         except OSError:
             return Answer("broken", first, self.delay)
--- a/claycross/emulator/demo.py
+++ b/claycross/emulator/demo.py
@@ -112,7 +112,7 @@
         self.arguments = arguments
         self.path = folder / f"{name}.log"
         self.environment = environment or {}
-        self.before = ""  # the logs of earlier processes of this name
+        self.earlier_log = ""  # the logs of earlier processes of this name
         self.process: subprocess.Popen[bytes] | None = self.spawn()
 
     def start(self) -> None:
@@ -121,8 +121,8 @@
 
     def spawn(self) -> subprocess.Popen[bytes]:
         """Start a process with an empty log; the state folder stays that of earlier ones."""
-        self.before += self.path.read_text() if self.path.exists() else ""
-        self.path.with_suffix(".earlier.log").write_text(self.before)
+        self.earlier_log += self.path.read_text() if self.path.exists() else ""
+        self.path.with_suffix(".earlier.log").write_text(self.earlier_log)
         state_folder = self.path.with_suffix(".state")
         state_folder.mkdir(exist_ok=True)
         own_environment = {"PROXY_NAME": self.name, "TMPDIR": str(state_folder)}
@@ -135,7 +135,7 @@
                 env=os.environ | own_environment | self.environment,
             )
 
-    def said(self, pattern: str) -> re.Match[str]:
+    def wait_for_log(self, pattern: str) -> re.Match[str]:
         """Wait for text in the log of the present process.
 
         Raises:
@@ -150,7 +150,7 @@
             time.sleep(LOG_POLL_INTERVAL_S)
         return found
 
-    def used(self) -> tuple[float, float] | None:
+    def resource_usage(self) -> tuple[float, float] | None:
         """Return seconds of processor time so far and MB of memory now, if the system tells."""
         try:
             proc = pathlib.Path(f"/proc/{self.process.pid}")
@@ -244,7 +244,7 @@
     def start(self) -> None:
         """Start the emulator and two gateways, and wait until they listen."""
         emulator = self.start_process("emulator", "emulate", self.fleet)
-        found = emulator.said(r"discovery=(\S+) control=(\S+)")
+        found = emulator.wait_for_log(r"discovery=(\S+) control=(\S+)")
         self.discovery = found[1]
         self.control = found[2]
         known = json.loads(self.ask(self.discovery, "GET", "/api/targets")[1])
@@ -252,7 +252,7 @@
             self.configure(name, "127.0.0.1:0", "127.0.0.1:0", known)
             self.gateways.append(self.start_process(name, *self.gateway_arguments(name)))
         for gateway in self.gateways:
-            found = gateway.said(r"serving listen=(\S+) embeddings=(\S+)")
+            found = gateway.wait_for_log(r"serving listen=(\S+) embeddings=(\S+)")
             self.fronts.append({"chat": found[1], "embeddings": found[2]})
             # So that it listens at the same addresses after a restart.
             self.configure(gateway.name, found[1], found[2], known)
@@ -385,7 +385,7 @@
         status = gateway.process.wait(RESTART_TIMEOUT_S)
         ended_after = time.monotonic() - start
         gateway.start()
-        gateway.said("serving listen")
+        gateway.wait_for_log("serving listen")
         self.stopping.discard(1)
         if status == 0:
             self.notes.append(
@@ -410,7 +410,7 @@
             f"in {took:.1f} s; {len(engines)} engines, {state['states']} states left held, "
             f"{connections} connections to them open"
         )
-        if usage := self.processes[0].used():
+        if usage := self.processes[0].resource_usage():
             cpu_s, memory_mb = usage
             print(f"the engines' process used {cpu_s / took:.0%} of a core and {memory_mb:.0f} MB")
         for note in self.notes:
--- a/claycross/emulator/fault_scenario.py
+++ b/claycross/emulator/fault_scenario.py
@@ -222,7 +222,7 @@
         f, net = self.file, self.net
         emulator = GatewayProcess(self.folder, "emulator", "emulate", str(ROOT / f.fleet))
         self.parts.append(emulator)
-        found = emulator.said(r"discovery=(\S+) control=(\S+)")
+        found = emulator.wait_for_log(r"discovery=(\S+) control=(\S+)")
         self.discovery, self.control = found.groups()
         known = self.ask(self.discovery, "GET", "/api/targets")[1]
         self.engine_zones = {
@@ -279,7 +279,7 @@
             )
         self.parts += self.gateways
         for part in self.gateways:
-            part.said("serving listen")
+            part.wait_for_log("serving listen")
 
     def configured(
         self, n: int, config: dict[str, object], spare: PortReservation
@@ -390,7 +390,7 @@
         span = [begin - 0.02, float("inf")]
         if t.do == "start":
             part.start()
-            part.said("serving listen")
+            part.wait_for_log("serving listen")
             self.expected.add(n)
             self.down.pop(n, None)
             return
@@ -419,7 +419,7 @@
             if status != 0:
                 self.notes.append(f"g{n} ended with {status}")
             part.start()
-            part.said("serving listen")
+            part.wait_for_log("serving listen")
             self.stopped[n].append((ended - 0.3, self.since()))  # new connections find nobody there
             self.down.pop(n, None)
 
@@ -459,7 +459,7 @@
         dead += [
             p.name
             for p in self.parts
-            if re.search(r"Traceback|unexpected where=", p.before + p.path.read_text())
+            if re.search(r"Traceback|unexpected where=", p.earlier_log + p.path.read_text())
         ]
         return audit(self.answers, audit_log, self.lost, dead)
 
@@ -469,7 +469,7 @@
         """
         out = []
         for part in self.gateways:
-            for line in (part.before + part.path.read_text()).splitlines():
+            for line in (part.earlier_log + part.path.read_text()).splitlines():
                 if found := re.match(
                     r"(\d+\.\d+) \S+ (member |members |isolation-changed |policy sums ).*", line
                 ):
--- a/claycross/emulator/soak_test.py
+++ b/claycross/emulator/soak_test.py
@@ -273,7 +273,7 @@
         part, begin = self.fleet.gateways[n], time.monotonic()
         self.fleet.shims[n].clear()
         part.start()
-        part.said("serving listen")
+        part.wait_for_log("serving listen")
         while not self.fleet.call(n, "check").startswith("ok"):
             if time.monotonic() - begin > READY_WITHIN:
                 return self.note(f"g{n} is not ready {READY_WITHIN} s after its start")
@@ -474,7 +474,7 @@
                 asked.ended = time.monotonic()
                 self.keep(asked)
                 turn += 1
-                if connection.ends or answer.how == "broken":
+                if connection.will_close or answer.how == "broken":
                     return True
                 time.sleep(rng.uniform(0, 0.2))
         return True
@@ -600,7 +600,7 @@
             part.process.send_signal(signal.SIGTERM)
         for n, part in enumerate(self.fleet.gateways):
             self.end(n)
-            lines = LOGGED.findall(part.before + part.path.read_text())
+            lines = LOGGED.findall(part.earlier_log + part.path.read_text())
             self.record.logged += [f"g{n}: {line}" for line in lines]
 
 
