--- a/claycross/fleet/load_aggregation.py
+++ b/claycross/fleet/load_aggregation.py
@@ -33,8 +33,9 @@
 from .codec import MAX_CONTENT_BYTES, newer, pack, unpack
 from .leases import Lease
 from .load_gossip import FAILURE_LIFETIME_NS, NEVER, READ, WRITE, LoadGossip, from_scale, to_scale
-from .member_state import MS, SECOND
 
+MS = 1_000_000  # ns
+SECOND = 1_000 * MS
 MAGIC = 0x3FFD  # the first word; the work numbers of load gossip stay below it
 VERSION = 1
 # Kinds of datagrams, by their number on the wire.
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -153,3 +153,14 @@
     )
     assert result.returncode == 0 and "claycross" in result.stdout.split()
     assert not OPTIONAL_LIBRARIES & set(result.stdout.split())
+
+
+def test_the_router_does_not_load_the_membership_protocol():
+    """Membership is off unless `serve --cooperation` turns it on: its modules are loaded then."""
+    code = "import sys, claycross.routing.router; print(*sys.modules)"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT.parent, capture_output=True, text=True, check=False
+    )
+    loaded = set(result.stdout.split())
+    assert result.returncode == 0 and "claycross.fleet.load_aggregation" in loaded
+    assert not loaded & {"claycross.fleet.member_state", "claycross.fleet.membership"}
